--- a/callers/job.go
+++ b/callers/job.go
@@ -153,23 +153,23 @@
 		return lost("the caller left")
 	}
 	d := j.s.policy.Decide(retry.Failure{
-		Sent:       !upstream.NotSent(err),
-		Answering:  j.c.Response().Committed,
-		Repeatable: j.repeatable,
-		Attempt:    j.rec.attempts,
+		Sent:            !upstream.NotSent(err),
+		ResponseStarted: j.c.Response().Committed,
+		Repeatable:      j.repeatable,
+		Attempt:         j.rec.attempts,
 	})
-	j.s.log.Warn().Err(err).Str("request", j.rec.id).Str("upstream", t.Upstream.Name).Bool("again", d.Again).Msg("upstream failed")
+	j.s.log.Warn().Err(err).Str("request", j.rec.id).Str("upstream", t.Upstream.Name).Bool("again", d.Retry).Msg("upstream failed")
 	if errors.Is(err, errStale) {
 		t.Finish()
 	} else {
-		t.Fail(j.s.policy.Avoid)
+		t.Fail(j.s.policy.AvoidDuration)
 	}
 	j.request.Avoid = t.Upstream.ID
 	switch {
 	case j.ctx.Err() != nil && d.Outcome == retry.NotRun:
 		j.drop()
 		return refused(j.ctx.Err())
-	case d.Again && j.ctx.Err() == nil:
+	case d.Retry && j.ctx.Err() == nil:
 		return nil
 	case d.Outcome == retry.NotRun:
 		j.drop()
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -119,7 +119,7 @@
 	case c.Config != nil:
 		return f.adopt(c.Config)
 	case c.Evacuation != nil:
-		f.upstream.Evacuate(f.now(), c.Evacuation.Domain, c.Evacuation.Ended, c.Revision)
+		f.upstream.RecordEvacuation(f.now(), c.Evacuation.Domain, c.Evacuation.Ended, c.Revision)
 	case c.Upstream != nil:
 		f.upstream.Put(f.now(), *c.Upstream)
 		f.changes.add(c.Revision, c.Upstream.ID)
--- a/feed/peer.go
+++ b/feed/peer.go
@@ -130,13 +130,13 @@
 		for _, id := range f.upstream.Missing(listed) {
 			f.upstream.Delete(id, e.Revision)
 		}
-		f.upstream.SetEvacuated(now, e.Evacuated, e.Revision)
+		f.upstream.ReplaceEvacuations(now, e.Evacuated, e.Revision)
 		return true
 	}
 	if e.Since > f.revision {
 		return false
 	}
-	f.upstream.SetEvacuated(now, e.Evacuated, e.Revision)
+	f.upstream.ReplaceEvacuations(now, e.Evacuated, e.Revision)
 	for _, u := range e.Upstreams {
 		f.upstream.Put(now, u)
 		// A lapse has no revision of its own: the entry's is older than the lapse.
--- a/feed/read.go
+++ b/feed/read.go
@@ -71,7 +71,7 @@
 			evacuated[c.Evacuation.Domain] = c.Revision
 		}
 	}
-	f.upstream.SetEvacuated(sent, evacuated, b.Revision)
+	f.upstream.ReplaceEvacuations(sent, evacuated, b.Revision)
 	for _, id := range f.upstream.Missing(listed) {
 		f.remove(Change{Gone: id, Revision: b.Revision})
 	}
--- a/fleet/warmup.go
+++ b/fleet/warmup.go
@@ -11,7 +11,7 @@
 // warmUntil is when an upstream has warmed up. After an evacuation it may be cold without
 // having said so yet.
 func warmUntil(v *registry.View, u *registry.Upstream, limit warmup.Limit) boottime.Time {
-	until := u.WarmUntil
+	until := u.WarmUpEnd
 	if reopened := v.ReopenedAt(u.FailureDomain); reopened != 0 {
 		until = max(until, reopened.Add(limit.Duration))
 	}
--- a/gateway/allowed.go
+++ b/gateway/allowed.go
@@ -21,7 +21,7 @@
 		return false, notRun("router_busy", "this router is behind and its view too old to send on", retryLater)
 	}
 	u := state.View.Upstream(id)
-	if state.View.EvacuatedUpstream(id) {
+	if state.View.UpstreamEvacuated(id) {
 		s.stats.withheld[withheldEvacuated].Inc(1)
 		r.tried = append(r.tried, id)
 		r.record.cause = "upstream " + id + " is in an evacuated failure domain"
@@ -56,7 +56,7 @@
 // platform would stop all.
 func (s *Server) tooOld() bool {
 	lag := max(s.placer.Lag(), s.placer.ReadLag())
-	return lag > s.cfg.Shed.Lag && s.state.Age() > s.cfg.OldView
+	return lag > s.cfg.Shed.LagThreshold && s.state.Age() > s.cfg.OldView
 }
 
 // stillAllowed checks the key against the newest configuration.
--- a/gateway/regions_test.go
+++ b/gateway/regions_test.go
@@ -86,7 +86,7 @@
 		for _, u := range r.state.Snapshot().View.All() {
 			reg.Put(0, u)
 		}
-		reg.Evacuate(0, "d1", false, 9)
+		reg.RecordEvacuation(0, "d1", false, 9)
 		r.state.set(&feed.Snapshot{View: reg.View(), Table: r.state.Snapshot().Table})
 	}
 	_, body, err := r.call("/unsafe/", nil)
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -113,7 +113,7 @@
 
 // authenticate finds the team that holds the caller's key.
 func (s *Server) authenticate(r *request) *refusal {
-	if !r.state.Table.Keyed() || r.route.Public {
+	if !r.state.Table.RequiresKey() || r.route.Public {
 		return nil
 	}
 	if !s.state.Authorized() {
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -65,7 +65,7 @@
 		return // the budget counted it when it allowed the retry
 	}
 	s.mu.Lock()
-	s.budget.First(time.Since(s.start), r.service)
+	s.budget.RecordFirstAttempt(time.Since(s.start), r.service)
 	s.mu.Unlock()
 }
 
@@ -77,7 +77,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.budget.Retry(time.Since(s.start), r.service, s.placer.Routers())
+	return s.budget.TryAcquire(time.Since(s.start), r.service, s.placer.Routers())
 }
 
 // minAttempt is the least time left in which an attempt can be of use.
--- a/gateway/shed.go
+++ b/gateway/shed.go
@@ -46,19 +46,19 @@
 		Tokens: dispatch.Tokens(&ask), Streaming: r.route.Kind == routing.Streaming, Lag: lag,
 	}
 	var verdict limits.Verdict
-	s.shedder.with(func(t *limits.Shedder) { verdict = t.Arrived(time.Since(s.start), arrival) })
-	if verdict.Shed == limits.Ask {
+	s.shedder.with(func(t *limits.Shedder) { verdict = t.Check(time.Since(s.start), arrival) })
+	if verdict.Reason == limits.NotShed {
 		return nil
 	}
 	r.record.lag = lag
 	s.counts.shed.Add(1)
 	s.placer.Shed(r.service, ask)
-	if verdict.Shed == limits.Busy {
+	if verdict.Reason == limits.Busy {
 		s.teams.note(r.teamName(), func(l *TeamLoad) { l.Busy++ })
 		return busyRefusal()
 	}
-	s.teams.shed(r, verdict.Age)
-	return overShareRefusal(max(verdict.After, shedRetryAfter))
+	s.teams.shed(r, verdict.AllowanceAge)
+	return overShareRefusal(max(verdict.RetryAfter, shedRetryAfter))
 }
 
 // shedRetryAfter is the least that callers are told who are refused without asking: a
@@ -75,7 +75,7 @@
 	if d.Over {
 		after = d.RetryAfter
 	}
-	s.shedder.with(func(t *limits.Shedder) { t.Told(time.Since(s.start), key, d.Allowance, after) })
+	s.shedder.with(func(t *limits.Shedder) { t.UpdateRate(time.Since(s.start), key, d.Allowance, after) })
 }
 
 // busyRefusal tells a caller to come back at once. Another router can serve it, if the
--- a/lab/router.go
+++ b/lab/router.go
@@ -80,10 +80,10 @@
 	if q.ended {
 		return
 	}
-	verdict := r.shedder.Arrived(w.clock.now, limits.Arrival{Share: w.share(q), Tokens: q.charge(), Streaming: true, Lag: r.lag})
-	if verdict.Shed != limits.Ask {
+	verdict := r.shedder.Check(w.clock.now, limits.Arrival{Share: w.share(q), Tokens: q.charge(), Streaming: true, Lag: r.lag})
+	if verdict.Reason != limits.NotShed {
 		w.decider.shed(q)
-		r.work(refuseTime, func() { w.refused(q, max(verdict.After, shedRetry)) })
+		r.work(refuseTime, func() { w.refused(q, max(verdict.RetryAfter, shedRetry)) })
 		return
 	}
 	posted := w.clock.now
@@ -100,7 +100,7 @@
 	}
 	r := w.routers[q.router]
 	r.work(answerTime, func() {
-		r.shedder.Told(w.clock.now, w.share(q), d.Allowance, d.RetryAfter)
+		r.shedder.UpdateRate(w.clock.now, w.share(q), d.Allowance, d.RetryAfter)
 		if d.Verdict == dispatch.Send {
 			r.work(streamTime, func() {})
 		}
--- a/limits/adaptive.go
+++ b/limits/adaptive.go
@@ -18,20 +18,20 @@
 // decrease is what remains of the limit after a report of a queue.
 const decrease = 0.9
 
-// Adaptive is the learned limit of one upstream.
-type Adaptive struct {
+// AdaptiveLimit is the learned limit of one upstream.
+type AdaptiveLimit struct {
 	// most is the number of slots that the bundle gives.
 	most    int
 	current float64
 }
 
-// NewAdaptive returns a limit that begins at the bundle's number of slots.
-func NewAdaptive(most int) *Adaptive {
-	return &Adaptive{most: most, current: float64(most)}
+// NewAdaptiveLimit returns a limit that begins at the bundle's number of slots.
+func NewAdaptiveLimit(most int) *AdaptiveLimit {
+	return &AdaptiveLimit{most: most, current: float64(most)}
 }
 
-// SetMost changes the bundle's number of slots.
-func (a *Adaptive) SetMost(most int) {
+// SetMax changes the bundle's number of slots.
+func (a *AdaptiveLimit) SetMax(most int) {
 	if most > a.most {
 		a.current = float64(most)
 	}
@@ -40,7 +40,7 @@
 }
 
 // Observe takes in a load report.
-func (a *Adaptive) Observe(l Load) {
+func (a *AdaptiveLimit) Observe(l Load) {
 	if l.Queued > 0 {
 		admitted := float64(max(l.Running, 1))
 		a.current = max(1, min(admitted, a.current*decrease))
@@ -50,15 +50,15 @@
 }
 
 // Limit is the number of requests that the upstream takes at once.
-func (a *Adaptive) Limit() int { return int(math.Ceil(a.current)) }
+func (a *AdaptiveLimit) Limit() int { return int(math.Ceil(a.current)) }
 
-// Share is the part of the limit that one side of a cut fleet may use: its
+// PartitionShare is the part of the limit that one side of a cut fleet may use: its
 // share of the listed VMs, or all that foreign requests leave, whichever is
 // more. foreign is what the upstream runs that this side did not send.
 //
 // Without the first part both halves would use every slot; without the second
 // a half whose other side has crashed would leave its slots idle.
-func (a *Adaptive) Share(visible, listed, foreign int) int {
+func (a *AdaptiveLimit) PartitionShare(visible, listed, foreign int) int {
 	limit := a.Limit()
 	if visible >= listed {
 		return limit
--- a/limits/adaptive_test.go
+++ b/limits/adaptive_test.go
@@ -12,7 +12,7 @@
 // what it admits, and comes back one by one when the queue is gone.
 func TestLimitFollowsTheEnginesQueue(t *testing.T) {
 	g := NewWithT(t)
-	a := limits.NewAdaptive(10)
+	a := limits.NewAdaptiveLimit(10)
 	a.Observe(limits.Load{Running: 6, Queued: 3})
 	g.Expect(a.Limit()).To(Equal(6))
 	for range 20 {
@@ -29,8 +29,8 @@
 // other side uses the upstream, and takes all that the other leaves.
 func TestShareOfACutFleet(t *testing.T) {
 	g := NewWithT(t)
-	a := limits.NewAdaptive(7)
-	g.Expect(a.Share(3, 7, 7)).To(Equal(3))
-	g.Expect(a.Share(3, 7, 2)).To(Equal(5))
-	g.Expect(a.Share(7, 7, 5)).To(Equal(7))
+	a := limits.NewAdaptiveLimit(7)
+	g.Expect(a.PartitionShare(3, 7, 7)).To(Equal(3))
+	g.Expect(a.PartitionShare(3, 7, 2)).To(Equal(5))
+	g.Expect(a.PartitionShare(7, 7, 5)).To(Equal(7))
 }
--- a/limits/allowances.go
+++ b/limits/allowances.go
@@ -90,10 +90,10 @@
 	}
 }
 
-// Told takes in what a home allows, in tokens a second: 0 if it told nothing, infinity
+// UpdateRate takes in what a home allows, in tokens a second: 0 if it told nothing, infinity
 // if there is no bound. after, if above 0, is when it told the caller of a refused
 // request to come back.
-func (a *Allowances) Told(now time.Duration, key ShareKey, rate float64, after time.Duration) {
+func (a *Allowances) UpdateRate(now time.Duration, key ShareKey, rate float64, after time.Duration) {
 	if rate == 0 {
 		return
 	}
@@ -117,5 +117,5 @@
 	}
 }
 
-// Bounded reports whether a home has told a bound.
-func (a *Allowances) Bounded(key ShareKey) bool { return a.buckets[key] != nil }
+// Limited reports whether a home has told a bound.
+func (a *Allowances) Limited(key ShareKey) bool { return a.buckets[key] != nil }
--- a/limits/late_test.go
+++ b/limits/late_test.go
@@ -71,9 +71,9 @@
 				sent[now/time.Second]++
 				after = 0
 			}
-			s.Told(now, arrival("flood").Share, askMore*share, after)
+			s.UpdateRate(now, arrival("flood").Share, askMore*share, after)
 		})
-		if s.Arrived(now, arrival("flood")).Shed != limits.Ask {
+		if s.Check(now, arrival("flood")).Reason != limits.NotShed {
 			continue
 		}
 		delay := time.Millisecond
--- a/limits/shedder.go
+++ b/limits/shedder.go
@@ -4,23 +4,23 @@
 
 // ShedConfig tunes a Shedder.
 type ShedConfig struct {
-	// Lag is how far the router may be behind before it asks for no more of a team than
+	// LagThreshold is how far the router may be behind before it asks for no more of a team than
 	// its share, and for a part of what a team without a share asks that holds it up. Above
-	// All it refuses all streams.
-	Lag, All time.Duration
+	// MaxStreamLag it refuses all streams.
+	LagThreshold, MaxStreamLag time.Duration
 }
 
 // DefaultShedConfig fits a flood that a small VM can't keep up with.
 func DefaultShedConfig() ShedConfig {
-	return ShedConfig{Lag: 25 * time.Millisecond, All: 250 * time.Millisecond}
+	return ShedConfig{LagThreshold: 25 * time.Millisecond, MaxStreamLag: 250 * time.Millisecond}
 }
 
-// Shed is what a router decides on a request before it asks a home.
-type Shed uint8
+// ShedReason is what a router decides on a request before it asks a home.
+type ShedReason uint8
 
 const (
-	// Ask: a home decides.
-	Ask Shed = iota
+	// NotShed: a home decides.
+	NotShed ShedReason = iota
 	// OverShare: refused, as the team has had its share.
 	OverShare
 	// Busy: refused, as the router is behind with its work.
@@ -59,25 +59,25 @@
 
 // Verdict is a decision on an arrival.
 type Verdict struct {
-	Shed Shed
-	// After is when the caller may come back, Age how old the home's word is that
+	Reason ShedReason
+	// RetryAfter is when the caller may come back, AllowanceAge how old the home's word is that
 	// decided.
-	After, Age time.Duration
+	RetryAfter, AllowanceAge time.Duration
 }
 
-// Arrived decides on a team's request.
-func (s *Shedder) Arrived(now time.Duration, a Arrival) Verdict {
+// Check decides on a team's request.
+func (s *Shedder) Check(now time.Duration, a Arrival) Verdict {
 	heavy := s.arrivals.add(now, a.Share.Team)
-	behind := a.Lag >= s.cfg.Lag
-	bounded := s.allowances.Bounded(a.Share)
+	behind := a.Lag >= s.cfg.LagThreshold
+	bounded := s.allowances.Limited(a.Share)
 	switch {
-	case a.Streaming && a.Lag > s.cfg.All:
-		return Verdict{Shed: Busy}
+	case a.Streaming && a.Lag > s.cfg.MaxStreamLag:
+		return Verdict{Reason: Busy}
 	case behind && heavy && !bounded && a.Streaming && !s.pass(a.Lag):
-		return Verdict{Shed: Busy}
+		return Verdict{Reason: Busy}
 	}
 	if ok, after, age := s.allowances.Take(now, a.Share, a.Tokens, behind); !ok {
-		return Verdict{Shed: OverShare, After: after, Age: age}
+		return Verdict{Reason: OverShare, RetryAfter: after, AllowanceAge: age}
 	}
 	return Verdict{}
 }
@@ -87,7 +87,7 @@
 // where it keeps up with the rest. A team of which all were refused would get nothing for
 // as long as anything holds the router up.
 func (s *Shedder) pass(lag time.Duration) bool {
-	part := float64(s.cfg.Lag) / float64(2*lag)
+	part := float64(s.cfg.LagThreshold) / float64(2*lag)
 	s.credit += part * part
 	if s.credit < 1 {
 		return false
@@ -96,8 +96,8 @@
 	return true
 }
 
-// Told takes in what a home allows a team, in tokens a second; after, if above 0, is
+// UpdateRate takes in what a home allows a team, in tokens a second; after, if above 0, is
 // when it told the caller of a refused request to come back.
-func (s *Shedder) Told(now time.Duration, key ShareKey, rate float64, after time.Duration) {
-	s.allowances.Told(now, key, rate, after)
+func (s *Shedder) UpdateRate(now time.Duration, key ShareKey, rate float64, after time.Duration) {
+	s.allowances.UpdateRate(now, key, rate, after)
 }
--- a/limits/shedder_test.go
+++ b/limits/shedder_test.go
@@ -25,7 +25,7 @@
 	gap := time.Second / time.Duration(perSecond)
 	for now := from; now < from+length; now += gap {
 		got += float64(share) * gap.Seconds()
-		if s.Arrived(now, arrival("flood")).Shed != limits.Ask {
+		if s.Check(now, arrival("flood")).Reason != limits.NotShed {
 			continue
 		}
 		asked++
@@ -35,7 +35,7 @@
 			sent++
 			after = 0
 		}
-		s.Told(now, arrival("flood").Share, float64(askMore*share), after)
+		s.UpdateRate(now, arrival("flood").Share, float64(askMore*share), after)
 	}
 	return sent, asked
 }
@@ -67,15 +67,15 @@
 		for range rapid.IntRange(1, 300).Draw(rt, "requests") {
 			now += time.Duration(rapid.IntRange(0, 20).Draw(rt, "ms")) * time.Millisecond
 			if rapid.Bool().Draw(rt, "flood") {
-				if s.Arrived(now, arrival("flood")).Shed == limits.Ask {
-					s.Told(now, arrival("flood").Share, 1, time.Second)
+				if s.Check(now, arrival("flood")).Reason == limits.NotShed {
+					s.UpdateRate(now, arrival("flood").Share, 1, time.Second)
 				}
 				continue
 			}
-			if s.Arrived(now, arrival("small")).Shed != limits.Ask {
+			if s.Check(now, arrival("small")).Reason != limits.NotShed {
 				rt.Fatal("held back")
 			}
-			s.Told(now, arrival("small").Share, math.Inf(1), 0)
+			s.UpdateRate(now, arrival("small").Share, math.Inf(1), 0)
 		}
 	})
 }
@@ -86,14 +86,14 @@
 	s := limits.NewShedder(limits.DefaultShedConfig())
 	first, second := arrival("flood"), arrival("flood")
 	second.Share.Group = 1
-	s.Told(time.Second, first.Share, 1, time.Second)
-	g.Expect(s.Arrived(time.Second, first).Shed).To(Equal(limits.Ask))
-	g.Expect(s.Arrived(time.Second, first).Shed).To(Equal(limits.OverShare))
+	s.UpdateRate(time.Second, first.Share, 1, time.Second)
+	g.Expect(s.Check(time.Second, first).Reason).To(Equal(limits.NotShed))
+	g.Expect(s.Check(time.Second, first).Reason).To(Equal(limits.OverShare))
 	for range 100 {
-		g.Expect(s.Arrived(time.Second, second).Shed).To(Equal(limits.Ask))
+		g.Expect(s.Check(time.Second, second).Reason).To(Equal(limits.NotShed))
 	}
-	s.Told(time.Second, first.Share, math.Inf(1), 0)
-	g.Expect(s.Arrived(time.Second, first).Shed).To(Equal(limits.Ask), "the bound is gone")
+	s.UpdateRate(time.Second, first.Share, math.Inf(1), 0)
+	g.Expect(s.Check(time.Second, first).Reason).To(Equal(limits.NotShed), "the bound is gone")
 }
 
 // Guards against a team that is asked for at more or less than its allowance over any span.
@@ -103,13 +103,13 @@
 		rate := float64(rapid.IntRange(100, 100000).Draw(rt, "rate"))
 		largest := rate / 2
 		now, asked, length := time.Second, 0.0, 6*time.Second
-		s.Told(now, arrival("flood").Share, rate, 0)
+		s.UpdateRate(now, arrival("flood").Share, rate, 0)
 		for now < time.Second+length {
 			a := arrival("flood")
 			a.Tokens = max(1, largest*rapid.Float64Range(0, 1).Draw(rt, "size"))
-			if s.Arrived(now, a).Shed == limits.Ask {
+			if s.Check(now, a).Reason == limits.NotShed {
 				asked += a.Tokens
-				s.Told(now, a.Share, rate, 0)
+				s.UpdateRate(now, a.Share, rate, 0)
 			}
 			now += time.Duration(rapid.IntRange(1, 20).Draw(rt, "ms")) * time.Millisecond
 		}
@@ -130,18 +130,18 @@
 	a := arrival("flood")
 	a.Tokens = 10000
 	const allowed, least = 100, 8
-	s.Told(time.Second, a.Share, allowed, 0)
+	s.UpdateRate(time.Second, a.Share, allowed, 0)
 	asked := 0
 	for now := time.Second; now < 6*time.Second; now += time.Millisecond {
-		if s.Arrived(now, a).Shed == limits.Ask {
+		if s.Check(now, a).Reason == limits.NotShed {
 			asked++
 		}
 	}
 	g.Expect(asked).To(BeNumerically(">=", least), "one question uses up what is allowed for 100 s")
 	g.Expect(asked).To(BeNumerically("<=", 2*least))
 
-	s.Told(6*time.Second, a.Share, 1000*allowed*allowed, 0)
-	g.Expect(s.Arrived(6*time.Second+100*time.Millisecond, a).Shed).To(Equal(limits.Ask), "questions for a new word cost nothing")
+	s.UpdateRate(6*time.Second, a.Share, 1000*allowed*allowed, 0)
+	g.Expect(s.Check(6*time.Second+100*time.Millisecond, a).Reason).To(Equal(limits.NotShed), "questions for a new word cost nothing")
 }
 
 // Guards against a team without a bound that holds up others at a late router.
@@ -149,10 +149,10 @@
 	g := NewWithT(t)
 	s := limits.NewShedder(limits.DefaultShedConfig())
 	now := time.Second
-	at := func(team string, lag time.Duration) limits.Shed {
+	at := func(team string, lag time.Duration) limits.ShedReason {
 		a := arrival(team)
 		a.Lag = lag
-		return s.Arrived(now, a).Shed
+		return s.Check(now, a).Reason
 	}
 	for i := range 1000 {
 		now += time.Millisecond
@@ -162,10 +162,10 @@
 		}
 		at(team, 0)
 	}
-	behind := limits.DefaultShedConfig().Lag
+	behind := limits.DefaultShedConfig().LagThreshold
 	g.Expect(at("flood", behind)).To(Equal(limits.Busy))
-	g.Expect(at("smalla", behind)).To(Equal(limits.Ask))
-	g.Expect(at("flood", 0)).To(Equal(limits.Ask))
+	g.Expect(at("smalla", behind)).To(Equal(limits.NotShed))
+	g.Expect(at("flood", 0)).To(Equal(limits.NotShed))
 	now += 10 * time.Second
 	at("smallb", behind)
 	g.Expect(at("flood", behind)).To(Equal(limits.Busy), "half of what came of late")
@@ -180,18 +180,18 @@
 		for now := time.Second; now < (1+seconds)*time.Second; now += time.Second / perSecond {
 			a := arrival("flood")
 			a.Lag = lag
-			if s.Arrived(now, a).Shed == limits.Ask {
+			if s.Check(now, a).Reason == limits.NotShed {
 				n++
 			}
 		}
 		return n / seconds
 	}
 	g := NewWithT(t)
-	behind := limits.DefaultShedConfig().Lag
+	behind := limits.DefaultShedConfig().LagThreshold
 	g.Expect(asked(behind - time.Millisecond)).To(Equal(perSecond))
 	g.Expect(asked(behind)).To(BeNumerically("~", perSecond/4, perSecond/50))
 	g.Expect(asked(2 * behind)).To(BeNumerically("~", perSecond/16, perSecond/50))
-	g.Expect(asked(limits.DefaultShedConfig().All + time.Millisecond)).To(BeZero())
+	g.Expect(asked(limits.DefaultShedConfig().MaxStreamLag + time.Millisecond)).To(BeZero())
 }
 
 // Guards against a late router that asks for more, or less, than a team's share.
@@ -200,19 +200,19 @@
 	const allowed, seconds = 200, 10
 	asked := func(lag time.Duration) int {
 		s := limits.NewShedder(limits.DefaultShedConfig())
-		s.Told(time.Second, arrival("flood").Share, allowed, 0)
+		s.UpdateRate(time.Second, arrival("flood").Share, allowed, 0)
 		n := 0
 		for now := time.Second; now < (1+seconds)*time.Second; now += time.Millisecond {
 			a := arrival("flood")
 			a.Lag = lag
-			if s.Arrived(now, a).Shed == limits.Ask {
+			if s.Check(now, a).Reason == limits.NotShed {
 				n++
-				s.Told(now, a.Share, allowed, 0)
+				s.UpdateRate(now, a.Share, allowed, 0)
 			}
 		}
 		return n
 	}
-	lag := limits.DefaultShedConfig().Lag
+	lag := limits.DefaultShedConfig().LagThreshold
 	g.Expect(asked(0)).To(BeNumerically("~", allowed*seconds, allowed))
 	g.Expect(asked(lag)).To(BeNumerically("~", allowed/askMore*seconds, allowed/askMore))
 }
--- a/registry/evacuation.go
+++ b/registry/evacuation.go
@@ -2,9 +2,9 @@
 
 import "github.com/aspenswitch/aspenswitch/boottime"
 
-// Evacuate takes in that the evacuation of a failure domain was ordered or, if ended is set,
+// RecordEvacuation takes in that the evacuation of a failure domain was ordered or, if ended is set,
 // withdrawn, unless a later change of it is known.
-func (r *Registry) Evacuate(now boottime.Time, domain string, ended bool, revision int64) {
+func (r *Registry) RecordEvacuation(now boottime.Time, domain string, ended bool, revision int64) {
 	known, found := r.evacuations[domain]
 	if found && known.revision >= revision {
 		return
@@ -16,15 +16,15 @@
 	r.forgetEvacuations()
 }
 
-// SetEvacuated takes in the failure domains that were being evacuated as of a revision, with
+// ReplaceEvacuations takes in the failure domains that were being evacuated as of a revision, with
 // the revisions of the orders. Evacuations that are missing were withdrawn.
-func (r *Registry) SetEvacuated(now boottime.Time, domains map[string]int64, revision int64) {
+func (r *Registry) ReplaceEvacuations(now boottime.Time, domains map[string]int64, revision int64) {
 	for domain, ordered := range domains {
-		r.Evacuate(now, domain, false, ordered)
+		r.RecordEvacuation(now, domain, false, ordered)
 	}
 	for domain, known := range r.evacuations {
 		if _, still := domains[domain]; !still && !known.ended && known.revision < revision {
-			r.Evacuate(now, domain, true, revision)
+			r.RecordEvacuation(now, domain, true, revision)
 		}
 	}
 }
--- a/registry/evacuation_test.go
+++ b/registry/evacuation_test.go
@@ -23,16 +23,16 @@
 	r := registry.New()
 	r.Put(learned, inDomain("a", "north", 3))
 	r.Put(learned, inDomain("b", "south", 4))
-	r.Evacuate(learned, "north", false, 5)
+	r.RecordEvacuation(learned, "north", false, 5)
 	r.Put(learned, inDomain("late", "north", 6))
 	v := r.View()
 	g.Expect(v.Ready("llm")).To(HaveLen(1))
 	g.Expect(v.Upstream("a")).To(BeNil())
-	g.Expect(v.EvacuatedUpstream("late")).To(BeTrue())
+	g.Expect(v.UpstreamEvacuated("late")).To(BeTrue())
 	g.Expect(v.Count("llm")).To(Equal(3))
 	g.Expect(v.ReopenedAt("north")).To(BeZero())
 
-	r.Evacuate(learned.Add(time.Second), "north", true, 7)
+	r.RecordEvacuation(learned.Add(time.Second), "north", true, 7)
 	g.Expect(r.View().Ready("llm")).To(HaveLen(3))
 	g.Expect(r.View().ReopenedAt("north")).To(Equal(learned.Add(time.Second)))
 }
@@ -52,7 +52,7 @@
 		r := registry.New()
 		r.Put(learned, inDomain("a", "north", 1))
 		for _, o := range rapid.Permutation(append(orders, orders...)).Draw(rt, "order") {
-			r.Evacuate(learned, "north", o.ended, o.revision)
+			r.RecordEvacuation(learned, "north", o.ended, o.revision)
 		}
 		if taken := r.View().Upstream("a") != nil; taken != orders[n-1].ended {
 			rt.Fatalf("takes work: %v, last order %+v", taken, orders[n-1])
@@ -65,11 +65,11 @@
 	g := NewWithT(t)
 	r := registry.New()
 	r.Put(learned, inDomain("a", "north", 1))
-	r.SetEvacuated(learned, map[string]int64{"north": 5, "nowhere": 6}, 6)
+	r.ReplaceEvacuations(learned, map[string]int64{"north": 5, "nowhere": 6}, 6)
 	g.Expect(r.View().Evacuated()).To(Equal([]string{"north", "nowhere"}))
-	r.SetEvacuated(learned, nil, 6)
+	r.ReplaceEvacuations(learned, nil, 6)
 	g.Expect(r.View().Evacuated()).To(Equal([]string{"nowhere"}), "a list of the same revision knows of the order")
-	r.SetEvacuated(learned, nil, 9)
+	r.ReplaceEvacuations(learned, nil, 9)
 	g.Expect(r.View().Evacuated()).To(BeEmpty())
 	g.Expect(r.View().Upstream("a")).NotTo(BeNil())
 }
@@ -82,7 +82,7 @@
 	cold.WarmUpLeft = 4 * time.Second
 	r.Put(learned, cold)
 	r.Put(learned.Add(time.Second), cold)
-	until := func() boottime.Time { return r.View().Upstream("a").WarmUntil }
+	until := func() boottime.Time { return r.View().Upstream("a").WarmUpEnd }
 	g.Expect(until()).To(Equal(learned.Add(4 * time.Second)))
 	cold.Revision = 4
 	r.Put(learned.Add(2*time.Second), cold)
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -52,9 +52,9 @@
 	if u.Started == 0 {
 		u.Started = r.entries[u.ID].Started
 	}
-	u.WarmUntil = now.Add(u.WarmUpLeft)
-	if known := r.entries[u.ID]; known.Revision == u.Revision && known.WarmUntil != 0 {
-		u.WarmUntil = known.WarmUntil
+	u.WarmUpEnd = now.Add(u.WarmUpLeft)
+	if known := r.entries[u.ID]; known.Revision == u.Revision && known.WarmUpEnd != 0 {
+		u.WarmUpEnd = known.WarmUpEnd
 	}
 	r.entries[u.ID] = u
 }
--- a/registry/upstream.go
+++ b/registry/upstream.go
@@ -22,9 +22,9 @@
 	Draining bool
 	// WarmUpLeft is how much longer it was warming up when it wrote its entry.
 	WarmUpLeft time.Duration
-	// WarmUntil is when its warm-up is over at the latest, on the boot clock of this router,
+	// WarmUpEnd is when its warm-up is over at the latest, on the boot clock of this router,
 	// which counts WarmUpLeft from the moment at which it learned of the entry.
-	WarmUntil boottime.Time `json:"-"`
+	WarmUpEnd boottime.Time `json:"-"`
 	// Started is when its process started by its own clock, in Unix milliseconds; 0 if
 	// it doesn't say. Clocks are set back: another moment is another start, an earlier
 	// one too.
--- a/registry/view.go
+++ b/registry/view.go
@@ -46,8 +46,8 @@
 // Evacuated returns the failure domains that are being evacuated, sorted.
 func (v *View) Evacuated() []string { return slices.Sorted(maps.Keys(v.evacuated)) }
 
-// EvacuatedUpstream reports whether an upstream is in a failure domain that is being evacuated.
-func (v *View) EvacuatedUpstream(id string) bool {
+// UpstreamEvacuated reports whether an upstream is in a failure domain that is being evacuated.
+func (v *View) UpstreamEvacuated(id string) bool {
 	u := v.byID[id]
 	return u != nil && v.isEvacuated(u.FailureDomain)
 }
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -37,15 +37,15 @@
 	budgetUse = 0.7
 )
 
-// First counts the first send of a request.
-func (b *Budget) First(now time.Duration, service string) {
+// RecordFirstAttempt counts the first send of a request.
+func (b *Budget) RecordFirstAttempt(now time.Duration, service string) {
 	s := b.service(now, service)
 	s.firsts[s.at%budgetBuckets]++
 }
 
-// Retry reports whether a request may be sent once more, and counts it if so.
+// TryAcquire reports whether a request may be sent once more, and counts it if so.
 // routers is the number of routers in the fleet.
-func (b *Budget) Retry(now time.Duration, service string, routers int) bool {
+func (b *Budget) TryAcquire(now time.Duration, service string, routers int) bool {
 	s := b.service(now, service)
 	firsts, retries := 0, 0
 	for i := range budgetBuckets {
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -26,9 +26,9 @@
 		for range 3000 {
 			at += time.Duration(rapid.IntRange(0, 40).Draw(rt, "gap")) * time.Millisecond
 			b := &budgets[rapid.IntRange(0, routers-1).Draw(rt, "router")]
-			b.First(at, "llm")
+			b.RecordFirstAttempt(at, "llm")
 			firsts = append(firsts, at)
-			for b.Retry(at, "llm", routers) {
+			for b.TryAcquire(at, "llm", routers) {
 				retries = append(retries, at)
 			}
 		}
@@ -57,6 +57,6 @@
 func TestQuietServiceMayRetry(t *testing.T) {
 	g := NewWithT(t)
 	b := retry.Budget{Ratio: 0.2, Allowance: 50, Window: 10 * time.Second}
-	b.First(time.Hour, "app")
-	g.Expect(b.Retry(time.Hour, "app", 7)).To(BeTrue())
+	b.RecordFirstAttempt(time.Hour, "app")
+	g.Expect(b.TryAcquire(time.Hour, "app", 7)).To(BeTrue())
 }
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -21,8 +21,8 @@
 type Failure struct {
 	// Sent is set if any of the request may have left for the upstream.
 	Sent bool
-	// Answering is set if a part of the answer has gone to the caller.
-	Answering bool
+	// ResponseStarted is set if a part of the answer has gone to the caller.
+	ResponseStarted bool
 	// Repeatable requests are idempotent.
 	Repeatable bool
 	// Attempt counts the tries so far, this one included.
@@ -31,21 +31,21 @@
 
 // Decision is what to do after a failure.
 type Decision struct {
-	Again   bool
+	Retry   bool
 	Outcome Outcome
 }
 
 // Policy bounds retries.
 type Policy struct {
-	// Attempts is the most times that a request is tried. More hide more
+	// MaxAttempts is the most times that a request is tried. More hide more
 	// failures and multiply the load when all upstreams fail.
-	Attempts int
-	// Avoid is how long an upstream that failed gets no work from this router.
-	Avoid time.Duration
+	MaxAttempts int
+	// AvoidDuration is how long an upstream that failed gets no work from this router.
+	AvoidDuration time.Duration
 }
 
 // DefaultPolicy returns a policy for upstreams that fail one at a time.
-func DefaultPolicy() Policy { return Policy{Attempts: 3, Avoid: 2 * time.Second} }
+func DefaultPolicy() Policy { return Policy{MaxAttempts: 3, AvoidDuration: 2 * time.Second} }
 
 // Decide applies the policy. A request that can't have left may always be sent
 // again; one that may have left only if it is repeatable, and if nothing of an
@@ -55,7 +55,7 @@
 	if !f.Sent {
 		d.Outcome = NotRun
 	}
-	safe := !f.Sent || (f.Repeatable && !f.Answering)
-	d.Again = safe && f.Attempt < p.Attempts
+	safe := !f.Sent || (f.Repeatable && !f.ResponseStarted)
+	d.Retry = safe && f.Attempt < p.MaxAttempts
 	return d
 }
--- a/routing/table.go
+++ b/routing/table.go
@@ -61,8 +61,8 @@
 // Team finds the team that holds a key, nil if none does.
 func (t *Table) Team(key string) *Team { return t.teams[key] }
 
-// Keyed reports whether requests need a key unless their route is public.
-func (t *Table) Keyed() bool { return len(t.Config.Teams) > 0 }
+// RequiresKey reports whether requests need a key unless their route is public.
+func (t *Table) RequiresKey() bool { return len(t.Config.Teams) > 0 }
 
 // Service finds a service by its name, nil if there is none.
 func (t *Table) Service(name string) *Service { return t.services[name] }
--- a/sched/home.go
+++ b/sched/home.go
@@ -141,7 +141,7 @@
 		return
 	}
 	visible, listed := n.view.Visible(now)
-	u.book.SetLimit(u.limit.Share(visible, listed, u.foreign(now)))
+	u.book.SetLimit(u.limit.PartitionShare(visible, listed, u.foreign(now)))
 	for _, router := range u.book.Recall() {
 		n.tellRecall(u, router)
 	}
--- a/sched/node.go
+++ b/sched/node.go
@@ -121,10 +121,10 @@
 		}
 		u, ok := kept[s.ID]
 		if !ok {
-			u = &upstream{holding: lease.NewHolding(s.ID), limit: limits.NewAdaptive(s.Slots)}
+			u = &upstream{holding: lease.NewHolding(s.ID), limit: limits.NewAdaptiveLimit(s.Slots)}
 		}
 		u.Upstream = s
-		u.limit.SetMost(s.Slots)
+		u.limit.SetMax(s.Slots)
 		p.upstreams = append(p.upstreams, u)
 		delete(kept, s.ID)
 	}
--- a/sched/pool.go
+++ b/sched/pool.go
@@ -29,7 +29,7 @@
 	holding *lease.Holding
 	// book is set while this router is the upstream's home.
 	book  *lease.Book
-	limit *limits.Adaptive
+	limit *limits.AdaptiveLimit
 	load  limits.Load
 	// loadAt is when load came.
 	loadAt time.Time
--- a/warmup/bucket.go
+++ b/warmup/bucket.go
@@ -13,7 +13,9 @@
 }
 
 // Available reports whether a request can be granted.
-func (b *Bucket) Available(now time.Duration) bool { return b.Rate > 0 && b.NextIn(now) == 0 }
+func (b *Bucket) Available(now time.Duration) bool {
+	return b.Rate > 0 && b.TimeUntilAvailable(now) == 0
+}
 
 // Take counts one request. While the upstream warms up, the caller has checked Available.
 // Requests that were sent more than a second ago don't delay the next grant.
@@ -22,8 +24,8 @@
 	b.updated = now
 }
 
-// NextIn returns the time until a request can be granted. It is not defined for Rate 0.
-func (b *Bucket) NextIn(now time.Duration) time.Duration {
+// TimeUntilAvailable returns the time until a request can be granted. It is not defined for Rate 0.
+func (b *Bucket) TimeUntilAvailable(now time.Duration) time.Duration {
 	missing := b.spentAt(now) + 1 - burst
 	if missing <= 0 {
 		return 0
