--- a/callers/completions.go
+++ b/callers/completions.go
@@ -53,7 +53,7 @@
 			"there is no model %q for this team; there are: %s", body.Model, strings.Join(b.Models(team), ", ")))
 	}
 	j.request.Pool = pool.ID
-	j.request.Prefix = body.prefix()
+	j.request.PrefixHash = body.prefix()
 	j.repeatable = true
 	j.path = c.Request().URL.Path
 	if body.Stream {
--- a/callers/errors.go
+++ b/callers/errors.go
@@ -80,7 +80,7 @@
 		return e
 	}
 	if errors.Is(err, context.DeadlineExceeded) {
-		return unavailable(string(sched.TooLate), "the request was not run before its deadline", time.Second)
+		return unavailable(string(sched.DeadlinePassed), "the request was not run before its deadline", time.Second)
 	}
 	return unavailable("cancelled", "the caller left before the request ran", time.Second)
 }
--- a/callers/job.go
+++ b/callers/job.go
@@ -164,7 +164,7 @@
 	} else {
 		t.Fail(j.s.policy.Avoid)
 	}
-	j.request.Avoid = t.Upstream.ID
+	j.request.AvoidUpstream = t.Upstream.ID
 	switch {
 	case j.ctx.Err() != nil && d.Outcome == retry.NotRun:
 		j.drop()
--- a/experiment/bound_test.go
+++ b/experiment/bound_test.go
@@ -73,5 +73,5 @@
 	slots := float64(l.Slots())
 	unseen := cfg.ReportEvery.Seconds() + tickEvery.Seconds() + 2*l.OneWay.Seconds()
 	known := (cfg.Hysteresis + float64(l.Routers)*cfg.Fairness.ReportError) * l.MeanCost
-	return known + slots/least*(unseen+cfg.Fairness.Residual*l.MeanCost+largest)
+	return known + slots/least*(unseen+cfg.Fairness.PrechargeRatio*l.MeanCost+largest)
 }
--- a/experiment/run.go
+++ b/experiment/run.go
@@ -145,7 +145,7 @@
 	r.meterUse()
 	r.meter.arrived(a.team)
 	r.step(f.node, func(n *sched.Node) {
-		n.Arrive(r.clock(), sched.Request{ID: id, Team: teamID(a.team), Pool: 1})
+		n.Submit(r.clock(), sched.Request{ID: id, Team: teamID(a.team), Pool: 1})
 	})
 }
 
--- a/fairness/accounts.go
+++ b/fairness/accounts.go
@@ -22,7 +22,7 @@
 	lift float64
 	// lag is how far the team was behind the floor when it last ceased to wait here.
 	lag float64
-	own Tally
+	own Usage
 	// pending is the sum over own running requests of when each started, in
 	// seconds since the epoch of Accounts. It gives the time that all of them
 	// have run in one subtraction.
@@ -81,7 +81,7 @@
 func (a *Accounts) MeanCost() float64 { return a.meanCost }
 
 // residual is what a running request is charged ahead, in slot seconds.
-func (a *Accounts) residual() float64 { return a.cfg.Residual * a.meanCost }
+func (a *Accounts) residual() float64 { return a.cfg.PrechargeRatio * a.meanCost }
 
 // Start notes that a request was sent to an upstream.
 func (a *Accounts) Start(now time.Time, id TeamID) {
@@ -99,9 +99,9 @@
 	acc.pending -= a.seconds(started)
 }
 
-// Learn takes a whole request into the mean cost. The first requests weigh more,
+// ObserveCost takes a whole request into the mean cost. The first requests weigh more,
 // so that an assumed mean that is far off is soon forgotten.
-func (a *Accounts) Learn(took time.Duration) {
+func (a *Accounts) ObserveCost(took time.Duration) {
 	a.learned++
 	weight := max(costWindow, 1/float64(a.learned+1))
 	a.meanCost += weight * (took.Seconds() - a.meanCost)
@@ -149,7 +149,7 @@
 			service += v.tally.Service
 			continue
 		}
-		service += v.service(now, a.cfg.ExtrapolateFor)
+		service += v.service(now, a.cfg.MaxExtrapolation)
 		running += v.tally.Running + min(v.assumed, v.tally.Waiting)
 	}
 	return service, running
--- a/fairness/fairness_test.go
+++ b/fairness/fairness_test.go
@@ -36,12 +36,12 @@
 		a.End(now, c.Team, began)
 		return c.Team
 	}
-	a.Arrive(now, 1)
+	a.Activate(now, 1)
 	a.SetWaiting(now, 1, 1)
 	for range 100 {
 		serve()
 	}
-	a.Arrive(now, 2)
+	a.Activate(now, 2)
 	a.SetWaiting(now, 2, 1)
 	turns := map[fairness.TeamID]int{}
 	for range 20 {
@@ -57,7 +57,7 @@
 	a := accounts(1, 1)
 	now := start
 	for _, team := range []fairness.TeamID{1, 2} {
-		a.Arrive(now, team)
+		a.Activate(now, team)
 		a.SetWaiting(now, team, 1)
 	}
 	a.Start(now, 2)
@@ -65,7 +65,7 @@
 	now = now.Add(5 * time.Second)
 	owed := a.Key(now, 2) - a.Key(now, 1)
 	a.SetWaiting(now, 1, 0)
-	a.Arrive(now, 1)
+	a.Activate(now, 1)
 	a.SetWaiting(now, 1, 1)
 	g.Expect(a.Key(now, 2) - a.Key(now, 1)).To(BeNumerically("~", owed, 1e-9))
 }
@@ -76,10 +76,10 @@
 	g := NewWithT(t)
 	a := accounts(1, 1)
 	for _, team := range []fairness.TeamID{1, 2} {
-		a.Arrive(start, team)
+		a.Activate(start, team)
 		a.SetWaiting(start, team, 1)
 	}
-	a.Merge(start, "vm2", 1, []fairness.Entry{{Team: 2, Tally: fairness.Tally{Service: 10_000}}})
+	a.Merge(start, "vm2", 1, []fairness.Entry{{Team: 2, Usage: fairness.Usage{Service: 10_000}}})
 	a.ClampLag(start)
 	g.Expect(a.Key(start, 2) - a.Key(start, 1)).To(BeNumerically("~", fairness.DefaultConfig().MaxLag, 1e-6))
 }
@@ -90,7 +90,7 @@
 	g := NewWithT(t)
 	a := accounts(1)
 	report := func(incarnation uint64, service float64) {
-		a.Merge(start, "vm2", incarnation, []fairness.Entry{{Team: 1, Tally: fairness.Tally{Service: service}}})
+		a.Merge(start, "vm2", incarnation, []fairness.Entry{{Team: 1, Usage: fairness.Usage{Service: service}}})
 	}
 	report(1, 50)
 	report(2, 0)
@@ -105,9 +105,9 @@
 func TestSilentRoutersRateIsAssumedForABoundedTime(t *testing.T) {
 	g := NewWithT(t)
 	a := accounts(1)
-	a.Merge(start, "vm2", 1, []fairness.Entry{{Team: 1, Tally: fairness.Tally{Service: 10, Running: 2}}})
+	a.Merge(start, "vm2", 1, []fairness.Entry{{Team: 1, Usage: fairness.Usage{Service: 10, Running: 2}}})
 	residual := a.Key(start, 1) - 10
-	limit := fairness.DefaultConfig().ExtrapolateFor
+	limit := fairness.DefaultConfig().MaxExtrapolation
 	g.Expect(a.Key(start.Add(time.Second), 1)).To(BeNumerically("~", 12+residual, 1e-9))
 	g.Expect(a.Key(start.Add(time.Hour), 1)).To(BeNumerically("~", 10+2*limit.Seconds()+residual, 1e-9))
 }
@@ -130,7 +130,7 @@
 		merge := func(order []message) float64 {
 			a := accounts(2)
 			for _, m := range order {
-				a.Merge(start, m.router, 1, []fairness.Entry{{Team: 1, Tally: fairness.Tally{Service: m.service}}})
+				a.Merge(start, m.router, 1, []fairness.Entry{{Team: 1, Usage: fairness.Usage{Service: m.service}}})
 			}
 			return a.Key(start, 1)
 		}
@@ -146,7 +146,7 @@
 func TestPeersErrByAtMostTheReportError(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := fairness.DefaultConfig()
-		cfg.Residual = 0
+		cfg.PrechargeRatio = 0
 		a := fairness.NewAccounts(cfg, 1)
 		a.SetShare(1, 1)
 		peer := fairness.NewAccounts(cfg, 1)
@@ -161,11 +161,11 @@
 				a.End(now, 1, running[0])
 				running = running[1:]
 			}
-			if due := a.Due(now, false); len(due) > 0 {
+			if due := a.DueEntries(now, false); len(due) > 0 {
 				peer.Merge(now, "vm1", 1, due)
 			}
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * time.Millisecond)
-			if due := a.Due(now, false); len(due) > 0 {
+			if due := a.DueEntries(now, false); len(due) > 0 {
 				peer.Merge(now, "vm1", 1, due)
 			}
 			if e := math.Abs(a.Key(now, 1) - peer.Key(now, 1)); e > cfg.ReportError+0.02 {
--- a/fairness/lift.go
+++ b/fairness/lift.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Arrive lifts a team that begins to wait to the floor, less what it was behind
+// Activate lifts a team that begins to wait to the floor, less what it was behind
 // the floor when it last ceased to wait here. What a team could have used and
 // did not is no credit; what it was owed while it waited stays owed. Call it
 // before the request is counted as waiting.
@@ -15,7 +15,7 @@
 //
 // Without the second part a team whose queue empties for a moment would lose
 // what it is behind, and its gap would grow each time.
-func (a *Accounts) Arrive(now time.Time, id TeamID) {
+func (a *Accounts) Activate(now time.Time, id TeamID) {
 	acc := a.teams[id]
 	if a.waits(acc) {
 		return
--- a/fairness/next.go
+++ b/fairness/next.go
@@ -68,9 +68,9 @@
 	return router
 }
 
-// Assume notes that n slots were given up for the team's requests that wait at
+// AssumeGranted notes that n slots were given up for the team's requests that wait at
 // router, until its next report tells what came of it.
-func (a *Accounts) Assume(router string, id TeamID, n int) {
+func (a *Accounts) AssumeGranted(router string, id TeamID, n int) {
 	if p, ok := a.peerNamed(router); ok {
 		if v, ok := p.views[id]; ok {
 			v.assumed += n
@@ -78,9 +78,9 @@
 	}
 }
 
-// Activity is the number of requests that run and wait at a router, as far as is
+// Outstanding is the number of requests that run and wait at a router, as far as is
 // known; "" names this one.
-func (a *Accounts) Activity(router string) int {
+func (a *Accounts) Outstanding(router string) int {
 	n := 0
 	if router == "" {
 		for _, acc := range a.order {
@@ -96,9 +96,9 @@
 	return n
 }
 
-// AllPeersWait reports whether every live peer has waiting requests of its own
+// AllPeersBacklogged reports whether every live peer has waiting requests of its own
 // and so, by the scheduler's invariant, no idle slot to give.
-func (a *Accounts) AllPeersWait() bool {
+func (a *Accounts) AllPeersBacklogged() bool {
 	for _, p := range a.peers {
 		if p.gone {
 			continue
--- a/fairness/report.go
+++ b/fairness/report.go
@@ -15,7 +15,7 @@
 // team, service, running, waiting, lift; trailing zeros are left out.
 type Entry struct {
 	Team TeamID
-	Tally
+	Usage
 	Lift float64
 }
 
@@ -56,7 +56,7 @@
 	}
 	*e = Entry{
 		Team: TeamID(fields[0]),
-		Tally: Tally{
+		Usage: Usage{
 			Service: float64(fields[1]) / serviceScale,
 			Running: int(fields[2]),
 			Waiting: int(fields[3]),
@@ -66,11 +66,11 @@
 	return nil
 }
 
-// Stalled reports whether a team waits here that the peers don't know of and that
+// HasUnreportedLag reports whether a team waits here that the peers don't know of and that
 // is behind the best served waiting team by more than lag (slot seconds
 // per unit of share): a holder elsewhere would give up a slot for them. Others
 // get the next slot that falls idle here, and a report would bring them nothing.
-func (a *Accounts) Stalled(now time.Time, lag float64) bool {
+func (a *Accounts) HasUnreportedLag(now time.Time, lag float64) bool {
 	least, top := math.Inf(1), math.Inf(-1)
 	for _, acc := range a.order {
 		if !a.waits(acc) {
@@ -85,11 +85,11 @@
 	return top-least > lag
 }
 
-// Due returns the teams whose accounts have left the line that peers
+// DueEntries returns the teams whose accounts have left the line that peers
 // extrapolate, with those that began or ceased to wait, and marks them as sent.
 // They must be sent to every peer. Where no account diverged, teams that only
 // began or ceased to wait are left for later unless force is set.
-func (a *Accounts) Due(now time.Time, force bool) []Entry {
+func (a *Accounts) DueEntries(now time.Time, force bool) []Entry {
 	if !force && !slices.ContainsFunc(a.order, func(acc *account) bool { return a.diverged(now, acc) }) {
 		return nil
 	}
@@ -116,34 +116,34 @@
 	}
 	// A running request that the peers don't know of will cost about a mean cost.
 	actual := a.ownService(now, acc) + float64(acc.own.Running)*a.meanCost
-	believed := acc.sent.service(now, a.cfg.ExtrapolateFor) + float64(acc.sent.tally.Running)*a.meanCost
+	believed := acc.sent.service(now, a.cfg.MaxExtrapolation) + float64(acc.sent.tally.Running)*a.meanCost
 	return math.Abs(actual-believed)/acc.share > limit
 }
 
-// Unasked reports whether more of the team's requests wait here than the peers
+// HasUnadvertised reports whether more of the team's requests wait here than the peers
 // were asked to give up slots for.
-func (a *Accounts) Unasked(id TeamID) bool {
+func (a *Accounts) HasUnadvertised(id TeamID) bool {
 	acc := a.teams[id]
 	return acc.own.Waiting > acc.asked
 }
 
-// AnyUnasked reports whether Unasked is true of any team.
-func (a *Accounts) AnyUnasked() bool {
+// AnyUnadvertised reports whether Unasked is true of any team.
+func (a *Accounts) AnyUnadvertised() bool {
 	return slices.ContainsFunc(a.order, func(acc *account) bool { return acc.own.Waiting > acc.asked })
 }
 
-// Granted notes that slots came from elsewhere: who gave them up counts the
+// RecordGrants notes that slots came from elsewhere: who gave them up counts the
 // requests as provided for, so that what waits from now on must be asked for
 // anew.
-func (a *Accounts) Granted() {
+func (a *Accounts) RecordGrants() {
 	for _, acc := range a.order {
 		acc.asked = min(acc.asked, acc.own.Waiting)
 	}
 }
 
-// BelievedWaiting reports whether the peers think that teams wait here while
+// WaitingReportOutdated reports whether the peers think that teams wait here while
 // none does.
-func (a *Accounts) BelievedWaiting() bool {
+func (a *Accounts) WaitingReportOutdated() bool {
 	believed := false
 	for _, acc := range a.order {
 		if acc.own.Waiting > 0 {
@@ -157,7 +157,7 @@
 // report returns the team's entry and notes it as sent.
 func (a *Accounts) report(now time.Time, acc *account) Entry {
 	e := a.entry(now, acc)
-	acc.sent = view{tally: e.Tally, at: now}
+	acc.sent = view{tally: e.Usage, at: now}
 	acc.asked = e.Waiting
 	if e.Lift == acc.sentLift {
 		// Lifts merge by maximum, so one that was told need not be told again.
@@ -171,7 +171,7 @@
 // entry is the team's account as it goes on the wire. How many wait matters
 // roughly, and a power of two, rounded up, takes fewer bytes.
 func (a *Accounts) entry(now time.Time, acc *account) Entry {
-	e := Entry{Team: acc.id, Tally: acc.own, Lift: acc.lift}
+	e := Entry{Team: acc.id, Usage: acc.own, Lift: acc.lift}
 	e.Service = a.ownService(now, acc)
 	if e.Waiting > 0 {
 		e.Waiting = 1 << bits.Len(uint(e.Waiting-1))
@@ -179,11 +179,11 @@
 	return e
 }
 
-// Full returns an entry for every team with anything to tell.
-func (a *Accounts) Full(now time.Time) []Entry {
+// AllEntries returns an entry for every team with anything to tell.
+func (a *Accounts) AllEntries(now time.Time) []Entry {
 	var all []Entry
 	for _, acc := range a.order {
-		if acc.own != (Tally{}) || acc.lift > 0 {
+		if acc.own != (Usage{}) || acc.lift > 0 {
 			all = append(all, a.entry(now, acc))
 		}
 	}
@@ -207,7 +207,7 @@
 			p.views[e.Team] = v
 		}
 		e.Service = max(e.Service, v.tally.Service)
-		*v = view{tally: e.Tally, at: now}
+		*v = view{tally: e.Usage, at: now}
 	}
 }
 
@@ -239,8 +239,8 @@
 	}
 }
 
-// SetGone tells whether a router is no longer live.
-func (a *Accounts) SetGone(router string, gone bool) {
+// SetUnreachable tells whether a router is no longer live.
+func (a *Accounts) SetUnreachable(router string, gone bool) {
 	if p, ok := a.peerNamed(router); ok {
 		p.gone = gone
 	}
--- a/fairness/snapshot.go
+++ b/fairness/snapshot.go
@@ -23,7 +23,7 @@
 	var s Snapshot
 	for _, acc := range a.order {
 		if acc.base > 0 || acc.lift > 0 {
-			s.Base = append(s.Base, Entry{Team: acc.id, Tally: Tally{Service: acc.base}, Lift: acc.lift})
+			s.Base = append(s.Base, Entry{Team: acc.id, Usage: Usage{Service: acc.base}, Lift: acc.lift})
 		}
 	}
 	for _, p := range a.peers {
@@ -31,8 +31,8 @@
 		for _, acc := range a.order {
 			if v, ok := p.views[acc.id]; ok {
 				tally := v.tally
-				tally.Service = v.service(now, a.cfg.ExtrapolateFor)
-				ps.Entries = append(ps.Entries, Entry{Team: acc.id, Tally: tally})
+				tally.Service = v.service(now, a.cfg.MaxExtrapolation)
+				ps.Entries = append(ps.Entries, Entry{Team: acc.id, Usage: tally})
 			}
 		}
 		s.Peers = append(s.Peers, ps)
--- a/fairness/tally.go
+++ b/fairness/usage.go
@@ -5,8 +5,8 @@
 // version cannot be charged to the wrong team.
 type TeamID int
 
-// Tally is what one router knows of one team in one pool.
-type Tally struct {
+// Usage is what one router knows of one team in one pool.
+type Usage struct {
 	// Service is the slot time charged so far, in seconds: how long the team's
 	// requests have held slots. It only grows within one incarnation, so that
 	// reports merge by maximum.
--- a/fairness/view.go
+++ b/fairness/view.go
@@ -5,7 +5,7 @@
 // view is the last report of one team by another router, and the line that
 // readers draw through it until the next one.
 type view struct {
-	tally Tally
+	tally Usage
 	at    time.Time
 	// assumed counts slots granted or returned for this team's waiting requests
 	// since the report; without it one report of a waiting request would
--- a/lease/holding.go
+++ b/lease/holder.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Holding is one router's slots of one upstream.
+// Holder is one router's slots of one upstream.
 //
 // Invariant: a request is sent only on a slot that is held, idle, and under a
 // lease that has not ended; inUse counts every request on the upstream, also
 // those whose lease ended while they ran.
-type Holding struct {
+type Holder struct {
 	upstream int
 	// home is the router that grants the slots now, homeIncarnation its
 	// incarnation; a change of either voids the term.
@@ -21,45 +21,45 @@
 	until           time.Time
 }
 
-// NewHolding returns a holding without slots.
-func NewHolding(upstream int) *Holding { return &Holding{upstream: upstream} }
+// NewHolder returns a holding without slots.
+func NewHolder(upstream int) *Holder { return &Holder{upstream: upstream} }
 
 // Home is the router that grants the slots.
-func (h *Holding) Home() string { return h.home }
+func (h *Holder) Home() string { return h.home }
 
 // HomeIncarnation is the incarnation of that router.
-func (h *Holding) HomeIncarnation() uint64 { return h.homeIncarnation }
+func (h *Holder) HomeIncarnation() uint64 { return h.homeIncarnation }
 
 // Held is the number of slots, idle or in use.
-func (h *Holding) Held() int { return int(h.granted - h.returned) }
+func (h *Holder) Held() int { return int(h.granted - h.returned) }
 
-// Until is when the lease ends.
-func (h *Holding) Until() time.Time { return h.until }
+// LeaseExpiry is when the lease ends.
+func (h *Holder) LeaseExpiry() time.Time { return h.until }
 
 // InUse is the number of requests on the upstream.
-func (h *Holding) InUse() int { return h.inUse }
+func (h *Holder) InUse() int { return h.inUse }
 
 // Idle is the number of slots that a request may be sent on now.
 //
 // The check of the end comes first: a process that was paused past it would
 // otherwise send on a slot that the home has given to another router, and the
 // upstream would run more than its limit.
-func (h *Holding) Idle(now time.Time) int {
+func (h *Holder) Idle(now time.Time) int {
 	if !now.Before(h.until) {
 		return 0
 	}
 	return max(h.Held()-h.inUse, 0)
 }
 
-// Use takes an idle slot for a request; the caller has checked Idle.
-func (h *Holding) Use() { h.inUse++ }
+// Acquire takes an idle slot for a request; the caller has checked Idle.
+func (h *Holder) Acquire() { h.inUse++ }
 
-// Done frees the slot of a request that ended.
-func (h *Holding) Done() { h.inUse-- }
+// Release frees the slot of a request that ended.
+func (h *Holder) Release() { h.inUse-- }
 
 // Return gives n idle slots back to the home. It fails while no term covers
 // them: the new home must take in the claim first.
-func (h *Holding) Return(n int) bool {
+func (h *Holder) Return(n int) bool {
 	if h.term == 0 || n > h.Held()-h.inUse {
 		return false
 	}
@@ -67,9 +67,9 @@
 	return true
 }
 
-// Rehome names the router that grants the slots from now on. Slots held are
+// SetHome names the router that grants the slots from now on. Slots held are
 // kept until their lease ends and claimed from the new home.
-func (h *Holding) Rehome(home string, incarnation uint64) {
+func (h *Holder) SetHome(home string, incarnation uint64) {
 	if h.home == home && h.homeIncarnation == incarnation {
 		return
 	}
@@ -78,18 +78,18 @@
 }
 
 // toClaim leaves the term and keeps the slots as a claim.
-func (h *Holding) toClaim() {
+func (h *Holder) toClaim() {
 	h.granted = uint64(h.Held())
 	h.returned, h.recalled, h.term = 0, 0, 0
 }
 
-// Apply takes in the home's word. It returns true if anything changed.
-func (h *Holding) Apply(g Grant) bool {
+// ApplyGrant takes in the home's word. It returns true if anything changed.
+func (h *Holder) ApplyGrant(g Grant) bool {
 	if g.Term < h.term {
 		return false
 	}
 	if g.Term > h.term {
-		*h = Holding{upstream: h.upstream, home: h.home, homeIncarnation: h.homeIncarnation,
+		*h = Holder{upstream: h.upstream, home: h.home, homeIncarnation: h.homeIncarnation,
 			term: g.Term, granted: g.Granted, recalled: g.Recalled, inUse: h.inUse, until: h.until}
 		return true
 	}
@@ -102,11 +102,11 @@
 }
 
 // Recalled is the number of slots that must go back as they fall idle.
-func (h *Holding) Recalled() int { return int(max(h.recalled, h.returned) - h.returned) }
+func (h *Holder) Recalled() int { return int(max(h.recalled, h.returned) - h.returned) }
 
 // Extend sets the end of the lease after an acknowledged message that was sent
 // one lease time before until.
-func (h *Holding) Extend(until time.Time) {
+func (h *Holder) Extend(until time.Time) {
 	if h.term != 0 && until.After(h.until) {
 		h.until = until
 	}
@@ -114,7 +114,7 @@
 
 // Expire gives up slots whose lease has ended. Requests that run go on and are
 // claimed, so that the home counts them again.
-func (h *Holding) Expire(now time.Time) bool {
+func (h *Holder) Expire(now time.Time) bool {
 	if now.Before(h.until) || h.Held() == 0 {
 		return false
 	}
@@ -124,7 +124,7 @@
 }
 
 // Report is what the home must know. ok is false when there is nothing to say.
-func (h *Holding) Report() (r Report, ok bool) {
+func (h *Holder) Report() (r Report, ok bool) {
 	r = Report{Upstream: h.upstream, Term: h.term, Returned: h.returned}
 	if h.term != 0 {
 		return r, h.returned > 0
@@ -133,5 +133,5 @@
 	return r, r.Claim > 0
 }
 
-// Claiming reports whether the slots wait for a new home's word.
-func (h *Holding) Claiming() bool { return h.term == 0 && max(h.Held(), h.inUse) > 0 }
+// ClaimPending reports whether the slots wait for a new home's word.
+func (h *Holder) ClaimPending() bool { return h.term == 0 && max(h.Held(), h.inUse) > 0 }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -15,11 +15,11 @@
 const ttl = 3 * time.Second
 
 // granted is a book that has just granted all its slots to one holder.
-func granted(slots int) (*lease.Book, *lease.Holding) {
-	b := lease.NewBook(1, slots, 0, start)
-	h := lease.NewHolding(1)
-	h.Rehome("home", 1)
-	h.Apply(b.Grant("vm1", 1, slots, start.Add(ttl)))
+func granted(slots int) (*lease.Table, *lease.Holder) {
+	b := lease.NewTable(1, slots, 0, start)
+	h := lease.NewHolder(1)
+	h.SetHome("home", 1)
+	h.ApplyGrant(b.Grant("vm1", 1, slots, start.Add(ttl)))
 	h.Extend(start.Add(ttl))
 	return b, h
 }
@@ -39,8 +39,8 @@
 // are closed until its lease must have ended; those that live holders claim go on.
 func TestNewHomeWaitsOutOldLeases(t *testing.T) {
 	g := NewWithT(t)
-	b := lease.NewBook(1, 4, 7, start.Add(ttl))
-	grant, answered := b.Report("vm1", 1, lease.Report{Upstream: 1, Claim: 2}, start.Add(ttl))
+	b := lease.NewTable(1, 4, 7, start.Add(ttl))
+	grant, answered := b.ApplyReport("vm1", 1, lease.Report{Upstream: 1, Claim: 2}, start.Add(ttl))
 	g.Expect(answered).To(BeTrue())
 	g.Expect(grant.Term).To(BeNumerically(">", 7))
 	g.Expect(b.Free(start)).To(BeZero())
@@ -52,20 +52,20 @@
 func TestRecallWaitsForRequestsToEnd(t *testing.T) {
 	g := NewWithT(t)
 	b, h := granted(4)
-	h.Use()
-	h.Use()
-	h.Use()
+	h.Acquire()
+	h.Acquire()
+	h.Acquire()
 	b.SetLimit(2)
 	g.Expect(b.Recall()).To(ConsistOf("vm1"))
-	word, _ := b.Current("vm1", 1)
-	h.Apply(word)
+	word, _ := b.CurrentGrant("vm1", 1)
+	h.ApplyGrant(word)
 	g.Expect(h.Recalled()).To(Equal(2))
 	g.Expect(h.Return(1)).To(BeTrue())
 	g.Expect(h.Return(1)).To(BeFalse(), "in use")
-	h.Done()
+	h.Release()
 	g.Expect(h.Return(1)).To(BeTrue())
 	r, _ := h.Report()
-	b.Report("vm1", 1, r, start.Add(ttl))
+	b.ApplyReport("vm1", 1, r, start.Add(ttl))
 	g.Expect(b.Granted()).To(Equal(2))
 }
 
@@ -75,9 +75,9 @@
 func TestCountersSurviveAnyNetwork(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const slots = 6
-		b := lease.NewBook(1, slots, 0, start)
-		h := lease.NewHolding(1)
-		h.Rehome("home", 1)
+		b := lease.NewTable(1, slots, 0, start)
+		h := lease.NewHolder(1)
+		h.SetHome("home", 1)
 		h.Extend(start.Add(time.Hour))
 		var down []lease.Grant
 		var up []lease.Report
@@ -90,7 +90,7 @@
 				}
 			case 1:
 				if len(down) > 0 {
-					h.Apply(rapid.SampledFrom(down).Draw(t, "grant"))
+					h.ApplyGrant(rapid.SampledFrom(down).Draw(t, "grant"))
 					h.Extend(until)
 				}
 			case 2:
@@ -100,24 +100,24 @@
 				}
 			case 3:
 				if len(up) > 0 {
-					b.Report("vm1", 1, rapid.SampledFrom(up).Draw(t, "report"), until)
+					b.ApplyReport("vm1", 1, rapid.SampledFrom(up).Draw(t, "report"), until)
 				}
 			case 4:
 				if h.Idle(start) > 0 {
-					h.Use()
+					h.Acquire()
 				} else if h.InUse() > 0 {
-					h.Done()
+					h.Release()
 				}
 			}
 			if h.Held() > b.Granted() || b.Granted() > slots || h.InUse() > h.Held() {
 				t.Fatalf("held %d, in use %d, granted %d of %d", h.Held(), h.InUse(), b.Granted(), slots)
 			}
 		}
-		if word, ok := b.Current("vm1", 1); ok {
-			h.Apply(word)
+		if word, ok := b.CurrentGrant("vm1", 1); ok {
+			h.ApplyGrant(word)
 		}
 		if r, ok := h.Report(); ok {
-			b.Report("vm1", 1, r, until)
+			b.ApplyReport("vm1", 1, r, until)
 		}
 		if h.Held() != b.Granted() {
 			t.Fatalf("held %d, granted %d after the last words", h.Held(), b.Granted())
--- a/lease/book.go
+++ b/lease/table.go
@@ -24,8 +24,8 @@
 	Claim    int    `json:"c,omitempty"`
 }
 
-// holder is a book's side of one relation.
-type holder struct {
+// holderRecord is a book's side of one relation.
+type holderRecord struct {
 	incarnation uint64
 	term        uint64
 	granted     uint64
@@ -34,52 +34,52 @@
 	until       time.Time
 }
 
-func (h *holder) held() int { return int(h.granted - h.returned) }
+func (h *holderRecord) held() int { return int(h.granted - h.returned) }
 
-// Book is the lease book of one upstream at its home.
+// Table is the lease book of one upstream at its home.
 //
 // Invariant: while the book is open, the slots it believes granted and those it
 // calls free add up to the limit, or free is zero and more are granted.
-type Book struct {
+type Table struct {
 	upstream int
 	limit    int
 	// opensAt is when slots that nobody claimed count as free.
 	opensAt  time.Time
 	lastTerm uint64
-	holders  map[string]*holder
+	holders  map[string]*holderRecord
 }
 
-// NewBook returns the book of a home that begins now. Slots that an earlier
+// NewTable returns the book of a home that begins now. Slots that an earlier
 // home may have granted stay closed until opensAt, one lease time ahead: a
 // holder cut off from this home could still use them until then.
-func NewBook(upstream, limit int, firstTerm uint64, opensAt time.Time) *Book {
-	return &Book{
+func NewTable(upstream, limit int, firstTerm uint64, opensAt time.Time) *Table {
+	return &Table{
 		upstream: upstream,
 		limit:    limit,
 		opensAt:  opensAt,
 		lastTerm: firstTerm,
-		holders:  map[string]*holder{},
+		holders:  map[string]*holderRecord{},
 	}
 }
 
-// Open ends the wait for an earlier home's leases; the caller knows all holders.
-func (b *Book) Open(now time.Time) {
+// EndGrace ends the wait for an earlier home's leases; the caller knows all holders.
+func (b *Table) EndGrace(now time.Time) {
 	if now.Before(b.opensAt) {
 		b.opensAt = now
 	}
 }
 
 // SetLimit changes how many slots the upstream has.
-func (b *Book) SetLimit(n int) { b.limit = n }
+func (b *Table) SetLimit(n int) { b.limit = n }
 
 // LastTerm is the last term begun; the next book of this home starts after it.
-func (b *Book) LastTerm() uint64 { return b.lastTerm }
+func (b *Table) LastTerm() uint64 { return b.lastTerm }
 
 // Limit is the number of slots.
-func (b *Book) Limit() int { return b.limit }
+func (b *Table) Limit() int { return b.limit }
 
 // Granted is the number of slots that holders have or may have.
-func (b *Book) Granted() int {
+func (b *Table) Granted() int {
 	n := 0
 	for _, h := range b.holders {
 		n += h.held()
@@ -88,7 +88,7 @@
 }
 
 // Free is the number of slots that may be granted now.
-func (b *Book) Free(now time.Time) int {
+func (b *Table) Free(now time.Time) int {
 	if now.Before(b.opensAt) {
 		return 0
 	}
@@ -97,21 +97,21 @@
 
 // Grant gives n slots to a router and returns what to tell it. The caller has
 // checked Free.
-func (b *Book) Grant(router string, incarnation uint64, n int, until time.Time) Grant {
+func (b *Table) Grant(router string, incarnation uint64, n int, until time.Time) Grant {
 	h := b.holderOf(router, incarnation, until)
 	h.granted += uint64(n)
 	return b.word(h)
 }
 
 // word is what a holder is told.
-func (b *Book) word(h *holder) Grant {
+func (b *Table) word(h *holderRecord) Grant {
 	return Grant{Upstream: b.upstream, Term: h.term, Granted: h.granted, Recalled: h.recalled}
 }
 
 // Recall asks the routers with most slots to give back what is granted beyond
 // the limit, and returns those that must be told. A slot comes back when its
 // request ends, so a smaller limit cuts nothing.
-func (b *Book) Recall() []string {
+func (b *Table) Recall() []string {
 	var told []string
 	for excess := b.Granted() - b.recalling() - b.limit; excess > 0; excess-- {
 		name := b.largest()
@@ -128,7 +128,7 @@
 }
 
 // recalling counts slots that were recalled and have not come back yet.
-func (b *Book) recalling() int {
+func (b *Table) recalling() int {
 	n := 0
 	for _, h := range b.holders {
 		n += h.recalling()
@@ -136,10 +136,10 @@
 	return n
 }
 
-func (h *holder) recalling() int { return int(max(h.recalled, h.returned) - h.returned) }
+func (h *holderRecord) recalling() int { return int(max(h.recalled, h.returned) - h.returned) }
 
 // largest is the router with most slots that are not recalled.
-func (b *Book) largest() string {
+func (b *Table) largest() string {
 	name, most := "", 0
 	for _, router := range b.Holders() {
 		h := b.holders[router]
@@ -150,8 +150,8 @@
 	return name
 }
 
-// Current returns the grant in force for a router, to be told again.
-func (b *Book) Current(router string, incarnation uint64) (Grant, bool) {
+// CurrentGrant returns the grant in force for a router, to be told again.
+func (b *Table) CurrentGrant(router string, incarnation uint64) (Grant, bool) {
 	h, ok := b.holders[router]
 	if !ok || h.incarnation != incarnation {
 		return Grant{}, false
@@ -162,19 +162,19 @@
 // holderOf returns the relation with the router's incarnation, a new one where
 // there is none. What an earlier incarnation held is void: it ended with the
 // process.
-func (b *Book) holderOf(router string, incarnation uint64, until time.Time) *holder {
+func (b *Table) holderOf(router string, incarnation uint64, until time.Time) *holderRecord {
 	h, ok := b.holders[router]
 	if ok && h.incarnation == incarnation {
 		return h
 	}
 	b.lastTerm++
-	h = &holder{incarnation: incarnation, term: b.lastTerm, until: until}
+	h = &holderRecord{incarnation: incarnation, term: b.lastTerm, until: until}
 	b.holders[router] = h
 	return h
 }
 
-// Report takes in what a holder says. It returns the grant to answer a claim with.
-func (b *Book) Report(router string, incarnation uint64, r Report, until time.Time) (Grant, bool) {
+// ApplyReport takes in what a holder says. It returns the grant to answer a claim with.
+func (b *Table) ApplyReport(router string, incarnation uint64, r Report, until time.Time) (Grant, bool) {
 	if r.Term == 0 {
 		return b.claim(router, incarnation, r.Claim, until), true
 	}
@@ -187,7 +187,7 @@
 }
 
 // claim begins a new term with what the holder says it has: it alone knows.
-func (b *Book) claim(router string, incarnation uint64, n int, until time.Time) Grant {
+func (b *Table) claim(router string, incarnation uint64, n int, until time.Time) Grant {
 	delete(b.holders, router)
 	h := b.holderOf(router, incarnation, until)
 	h.granted = uint64(max(n, 0))
@@ -195,7 +195,7 @@
 }
 
 // Renew extends every slot of the router: it was heard at until less a lease time.
-func (b *Book) Renew(router string, incarnation uint64, until time.Time) {
+func (b *Table) Renew(router string, incarnation uint64, until time.Time) {
 	if h, ok := b.holders[router]; ok && h.incarnation == incarnation && until.After(h.until) {
 		h.until = until
 	}
@@ -203,7 +203,7 @@
 
 // Expire takes back the slots of routers that were not heard for a lease time.
 // Their own leases ended before, so they send nothing more on these slots.
-func (b *Book) Expire(now time.Time) {
+func (b *Table) Expire(now time.Time) {
 	for name, h := range b.holders {
 		if now.After(h.until) {
 			delete(b.holders, name)
@@ -212,10 +212,10 @@
 }
 
 // Holders returns the routers that hold slots, sorted.
-func (b *Book) Holders() []string { return slices.Sorted(maps.Keys(b.holders)) }
+func (b *Table) Holders() []string { return slices.Sorted(maps.Keys(b.holders)) }
 
 // Held is the number of slots a router has.
-func (b *Book) Held(router string) int {
+func (b *Table) Held(router string) int {
 	if h, ok := b.holders[router]; ok {
 		return h.held()
 	}
--- a/router/control.go
+++ b/router/control.go
@@ -92,7 +92,7 @@
 }
 
 func (c *control) dispatch(a sched.Dispatch) {
-	c.answer(a.Request, grant{upstream: a.Upstream, until: a.Until})
+	c.answer(a.Request, grant{upstream: a.Upstream, until: a.LeaseExpiry})
 }
 
 func (c *control) answer(id sched.RequestID, g grant) {
@@ -165,7 +165,7 @@
 	}
 	for _, u := range b.Upstreams {
 		s.Upstreams = append(s.Upstreams, sched.Upstream{
-			ID: u.ID, Pool: poolID[u.Pool], Slots: u.Slots, Leaving: !b.TakesWork(u),
+			ID: u.ID, Pool: poolID[u.Pool], Slots: u.Slots, Draining: !b.TakesWork(u),
 		})
 	}
 	return s
--- a/router/control_internal_test.go
+++ b/router/control_internal_test.go
@@ -16,6 +16,6 @@
 		Upstreams: []bundle.Upstream{{ID: 1, Pool: "planning", FailureDomain: "north"}, {ID: 2, Pool: "planning", FailureDomain: "south"}},
 		Evacuated: []string{"north"},
 	})
-	g.Expect(s.Upstreams[0].Leaving).To(BeTrue())
-	g.Expect(s.Upstreams[1].Leaving).To(BeFalse())
+	g.Expect(s.Upstreams[0].Draining).To(BeTrue())
+	g.Expect(s.Upstreams[1].Draining).To(BeFalse())
 }
--- a/router/message.go
+++ b/router/message.go
@@ -106,7 +106,7 @@
 
 func (m arrive) apply(c *control, now time.Time) {
 	c.waiters[m.request.ID] = m.waiter
-	c.node.Arrive(now, m.request)
+	c.node.Submit(now, m.request)
 }
 
 func (m cancel) apply(c *control, now time.Time) {
@@ -126,7 +126,7 @@
 	c.offer(now, m)
 }
 func (m listed) apply(c *control, now time.Time) { c.setList(now, m.list) }
-func (m loaded) apply(c *control, now time.Time) { c.node.Load(now, m.pool, m.upstream, m.load) }
+func (m loaded) apply(c *control, now time.Time) { c.node.ObserveLoad(now, m.pool, m.upstream, m.load) }
 func (m vote) apply(c *control, _ time.Time) {
 	m.reply <- c.voter.Vote(time.Now(), m.key, m.owner)
 }
--- a/router/ticket.go
+++ b/router/ticket.go
@@ -61,7 +61,7 @@
 		r.post(cancel{id: req.ID})
 		return nil, context.Cause(ctx)
 	case <-r.stopped:
-		return nil, &Refusal{Reason: sched.Leaving, RetryAfter: time.Second}
+		return nil, &Refusal{Reason: sched.ShuttingDown, RetryAfter: time.Second}
 	}
 }
 
--- a/router/watch.go
+++ b/router/watch.go
@@ -102,7 +102,7 @@
 	client := &http.Client{Timeout: time.Second}
 	for r.sleep(r.cfg.LoadEvery) {
 		var homes []sched.Upstream
-		r.inspect(func(c *control) { homes = c.node.Homes() })
+		r.inspect(func(c *control) { homes = c.node.HomedUpstreams() })
 		for _, u := range homes {
 			r.wg.Go(func() { r.pollLoad(client, u) })
 		}
--- a/sched/action.go
+++ b/sched/action.go
@@ -10,9 +10,9 @@
 type Dispatch struct {
 	Request  RequestID
 	Upstream int
-	// Until is the end of the lease that the slot is under. Check it at the last
+	// LeaseExpiry is the end of the lease that the slot is under. Check it at the last
 	// moment before sending.
-	Until time.Time
+	LeaseExpiry time.Time
 }
 
 // Redial replaces the connection to a peer that doesn't acknowledge: it may
@@ -43,8 +43,8 @@
 
 // Reasons for a refusal; all of them mean that the request did not run.
 const (
-	QueueFull Reason = "queue-full"
-	TooLate   Reason = "deadline"
-	Leaving   Reason = "shutting-down"
-	NoPool    Reason = "no-pool"
+	QueueFull      Reason = "queue-full"
+	DeadlinePassed Reason = "deadline"
+	ShuttingDown   Reason = "shutting-down"
+	NoPool         Reason = "no-pool"
 )
--- a/sched/config.go
+++ b/sched/config.go
@@ -22,11 +22,11 @@
 	// ReportEvery is the shortest time between two reports of accounts. Longer
 	// gathers more into one message; the accounts are extrapolated meanwhile.
 	ReportEvery time.Duration
-	// AskSpacing is the shortest time between two asks for slots, in mean costs,
+	// SlotRequestSpacing is the shortest time between two asks for slots, in mean costs,
 	// while requests of this router run in the pool. Longer saves control bytes
 	// where the fleet is just full; a request may wait so much longer beside
 	// another's idle slot.
-	AskSpacing float64
+	SlotRequestSpacing float64
 	// Heartbeat is the longest time between two messages to a peer. A lease
 	// lives for LeaseTTL after one, so it must be a small part of that.
 	Heartbeat time.Duration
@@ -45,16 +45,16 @@
 // DefaultConfig returns the settings for routers a few milliseconds apart.
 func DefaultConfig(router string, incarnation uint64) Config {
 	return Config{
-		Router:       router,
-		Incarnation:  incarnation,
-		Fairness:     fairness.DefaultConfig(),
-		Hysteresis:   1,
-		ReportEvery:  250 * time.Millisecond,
-		AskSpacing:   0.05,
-		Heartbeat:    500 * time.Millisecond,
-		LeaseTTL:     3 * time.Second,
-		SuspectAfter: 2500 * time.Millisecond,
-		QueuePerTeam: 1000,
-		MeanCost:     1,
+		Router:             router,
+		Incarnation:        incarnation,
+		Fairness:           fairness.DefaultConfig(),
+		Hysteresis:         1,
+		ReportEvery:        250 * time.Millisecond,
+		SlotRequestSpacing: 0.05,
+		Heartbeat:          500 * time.Millisecond,
+		LeaseTTL:           3 * time.Second,
+		SuspectAfter:       2500 * time.Millisecond,
+		QueuePerTeam:       1000,
+		MeanCost:           1,
 	}
 }
--- a/sched/dump.go
+++ b/sched/dump.go
@@ -40,19 +40,19 @@
 	Granted    int     `json:"granted,omitempty"`
 	Free       int     `json:"free,omitempty"`
 	IsHome     bool    `json:"isHome"`
-	Leaving    bool    `json:"leaving,omitempty"`
+	Draining   bool    `json:"leaving,omitempty"`
 	Queued     int     `json:"queuedAtUpstream,omitempty"`
 	AvoidedFor float64 `json:"avoidedForSeconds,omitempty"`
 }
 
 // PeerDump is one link's state.
 type PeerDump struct {
-	Peer        string  `json:"peer"`
-	Incarnation uint64  `json:"incarnation"`
-	HeardAgo    float64 `json:"heardAgoSeconds"`
-	Sent        uint64  `json:"sent"`
-	Heard       uint64  `json:"heard"`
-	Unacked     int     `json:"unacked"`
+	Peer            string  `json:"peer"`
+	Incarnation     uint64  `json:"incarnation"`
+	LastReceivedAgo float64 `json:"heardAgoSeconds"`
+	LastSentSeq     uint64  `json:"sent"`
+	LastReceivedSeq uint64  `json:"heard"`
+	Unacked         int     `json:"unacked"`
 }
 
 // Dump returns the state at now.
@@ -67,8 +67,8 @@
 	for _, name := range slices.Sorted(maps.Keys(n.links)) {
 		l := n.links[name]
 		d.Peers = append(d.Peers, PeerDump{
-			Peer: name, Incarnation: l.incarnation, HeardAgo: now.Sub(l.heardAt).Seconds(),
-			Sent: l.seq, Heard: l.heard, Unacked: len(l.times),
+			Peer: name, Incarnation: l.incarnation, LastReceivedAgo: now.Sub(l.heardAt).Seconds(),
+			LastSentSeq: l.seq, LastReceivedSeq: l.heard, Unacked: len(l.times),
 		})
 	}
 	return d
@@ -85,8 +85,8 @@
 func (u *upstream) dump(now time.Time) UpstreamDump {
 	d := UpstreamDump{
 		Upstream: u.ID, Home: u.holding.Home(), Held: u.holding.Held(), InUse: u.holding.InUse(),
-		LeaseLeft: max(u.holding.Until().Sub(now).Seconds(), 0), Limit: u.limit.Limit(),
-		Leaving: u.Leaving, Queued: u.load.Queued,
+		LeaseLeft: max(u.holding.LeaseExpiry().Sub(now).Seconds(), 0), Limit: u.limit.Limit(),
+		Draining: u.Draining, Queued: u.load.Queued,
 		AvoidedFor: max(u.avoidUntil.Sub(now).Seconds(), 0),
 	}
 	if u.book != nil {
--- a/sched/failure_test.go
+++ b/sched/failure_test.go
@@ -286,7 +286,7 @@
 	f.cost = 300 * time.Millisecond
 	load := func() { f.backlog(0, 1); f.backlog(1, 2) }
 	f.runWith(2*time.Second, load)
-	f.settings.Upstreams[0].Leaving = true
+	f.settings.Upstreams[0].Draining = true
 	for _, n := range f.nodes {
 		n.Configure(f.now, f.settings)
 	}
@@ -314,7 +314,7 @@
 	f.act(2)
 	g.Expect(f.refused).To(HaveLen(8))
 	for id, r := range f.refused {
-		g.Expect(r.Reason).To(Equal(sched.Leaving))
+		g.Expect(r.Reason).To(Equal(sched.ShuttingDown))
 		g.Expect(r.RetryAfter).To(BeNumerically(">", 0))
 		g.Expect(f.running[id].at.IsZero()).To(BeTrue(), "refused as not run, but ran")
 		delete(f.running, id)
@@ -323,7 +323,7 @@
 	g.Expect(f.nodes[2].Running()).To(BeZero())
 	g.Expect(f.busy(0)).To(Equal(f.slots()))
 	refused := f.arrive(2, 3)
-	g.Expect(f.refused[refused].Reason).To(Equal(sched.Leaving))
+	g.Expect(f.refused[refused].Reason).To(Equal(sched.ShuttingDown))
 }
 
 // A caller's deadline can't be met: the queue ahead takes longer. It is told so
@@ -335,14 +335,14 @@
 	f.arrive(0, 1)
 	f.lastID++
 	late := f.lastID
-	f.nodes[0].Arrive(f.now, sched.Request{ID: late, Team: 2, Pool: 1, Deadline: f.now.Add(time.Second)})
+	f.nodes[0].Submit(f.now, sched.Request{ID: late, Team: 2, Pool: 1, Deadline: f.now.Add(time.Second)})
 	f.act(0)
 	g.Expect(f.refused).NotTo(HaveKey(late))
 	f.run(1200 * time.Millisecond)
-	g.Expect(f.refused[late].Reason).To(Equal(sched.TooLate))
+	g.Expect(f.refused[late].Reason).To(Equal(sched.DeadlinePassed))
 	f.backlog(0, 2)
 	f.lastID++
-	f.nodes[0].Arrive(f.now, sched.Request{ID: f.lastID, Team: 2, Pool: 1, Deadline: f.now.Add(time.Second)})
+	f.nodes[0].Submit(f.now, sched.Request{ID: f.lastID, Team: 2, Pool: 1, Deadline: f.now.Add(time.Second)})
 	f.act(0)
-	g.Expect(f.refused[f.lastID].Reason).To(Equal(sched.TooLate))
+	g.Expect(f.refused[f.lastID].Reason).To(Equal(sched.DeadlinePassed))
 }
--- a/sched/fleet_test.go
+++ b/sched/fleet_test.go
@@ -145,7 +145,7 @@
 
 func (f *fleet) dispatch(i int, d sched.Dispatch) {
 	s := f.running[d.Request]
-	s.node, s.upstream, s.at, s.until = i, d.Upstream, f.now, d.Until
+	s.node, s.upstream, s.at, s.until = i, d.Upstream, f.now, d.LeaseExpiry
 	f.running[d.Request] = s
 	f.peak[d.Upstream] = max(f.peak[d.Upstream], f.busy(d.Upstream))
 }
@@ -172,7 +172,7 @@
 	f.lastID++
 	id := f.lastID
 	f.running[id] = sent{team: team, node: -1}
-	f.nodes[i].Arrive(f.now, sched.Request{ID: id, Team: team, Pool: 1})
+	f.nodes[i].Submit(f.now, sched.Request{ID: id, Team: team, Pool: 1})
 	f.act(i)
 	if _, refused := f.refused[id]; refused {
 		delete(f.running, id)
@@ -264,8 +264,8 @@
 		if !f.up[i] || f.paused[i] {
 			continue
 		}
-		for _, u := range n.Homes() {
-			n.Load(f.now, u.Pool, u.ID, limits.Load{Running: min(f.busy(u.ID), u.Slots), Queued: max(f.busy(u.ID)-u.Slots, 0)})
+		for _, u := range n.HomedUpstreams() {
+			n.ObserveLoad(f.now, u.Pool, u.ID, limits.Load{Running: min(f.busy(u.ID), u.Slots), Queued: max(f.busy(u.ID)-u.Slots, 0)})
 			f.act(i)
 		}
 	}
--- a/sched/home.go
+++ b/sched/home.go
@@ -13,7 +13,7 @@
 // until park spreads them.
 func (n *Node) allocate(now time.Time, p *pool) {
 	for _, u := range p.upstreams {
-		if u.book == nil || u.Leaving {
+		if u.book == nil || u.Draining {
 			continue
 		}
 		for u.book.Free(now) > 0 && n.grantNext(now, p, u) {
@@ -33,7 +33,7 @@
 	if !elsewhere {
 		return false
 	}
-	p.accounts.Assume(remote.Router, remote.Team, 1)
+	p.accounts.AssumeGranted(remote.Router, remote.Team, 1)
 	n.grant(now, u, remote.Router, 1)
 	return true
 }
@@ -49,7 +49,7 @@
 
 func (n *Node) grantSelf(now time.Time, u *upstream, slots int) {
 	g := u.book.Grant(n.cfg.Router, n.cfg.Incarnation, slots, n.ownLease())
-	u.holding.Apply(g)
+	u.holding.ApplyGrant(g)
 	u.holding.Extend(n.ownLease())
 }
 
@@ -69,8 +69,8 @@
 	if !ok {
 		return
 	}
-	if g, answered := u.book.Report(n.cfg.Router, n.cfg.Incarnation, r, n.ownLease()); answered {
-		u.holding.Apply(g)
+	if g, answered := u.book.ApplyReport(n.cfg.Router, n.cfg.Incarnation, r, n.ownLease()); answered {
+		u.holding.ApplyGrant(g)
 		u.holding.Extend(n.ownLease())
 	}
 }
@@ -79,7 +79,7 @@
 // a request that meets no contention finds an idle slot without a round trip.
 func (n *Node) park(now time.Time, p *pool) {
 	for _, u := range p.upstreams {
-		if u.book == nil || u.Leaving {
+		if u.book == nil || u.Draining {
 			continue
 		}
 		for u.book.Free(now) > 0 {
@@ -95,7 +95,7 @@
 
 // parkAt is the live router that has the most work in the pool for each slot of
 // the upstream that it holds, so that idle slots lie where requests come.
-func (n *Node) parkAt(p *pool, b *lease.Book) string {
+func (n *Node) parkAt(p *pool, b *lease.Table) string {
 	router, most := n.cfg.Router, workPerSlot(p, b, n.cfg.Router, "")
 	for _, name := range n.live {
 		if name == n.cfg.Router {
@@ -110,15 +110,15 @@
 
 // workPerSlot counts one more request and slot each, so that a router without
 // work gets slots too.
-func workPerSlot(p *pool, b *lease.Book, router, account string) float64 {
-	return float64(p.accounts.Activity(account)+1) / float64(b.Held(router)+1)
+func workPerSlot(p *pool, b *lease.Table, router, account string) float64 {
+	return float64(p.accounts.Outstanding(account)+1) / float64(b.Held(router)+1)
 }
 
 // reportFresh is how long an upstream's load report is believed.
 const reportFresh = 2 * time.Second
 
-// Load takes in an upstream's own report. Only the upstream's home asks for it.
-func (n *Node) Load(now time.Time, poolID, upstreamID int, l limits.Load) {
+// ObserveLoad takes in an upstream's own report. Only the upstream's home asks for it.
+func (n *Node) ObserveLoad(now time.Time, poolID, upstreamID int, l limits.Load) {
 	p, ok := n.pools[poolID]
 	if !ok {
 		return
@@ -161,13 +161,13 @@
 		n.linkTo(router).grants[u.ID] = true
 		return
 	}
-	if g, ok := u.book.Current(router, n.cfg.Incarnation); ok {
-		u.holding.Apply(g)
+	if g, ok := u.book.CurrentGrant(router, n.cfg.Incarnation); ok {
+		u.holding.ApplyGrant(g)
 	}
 }
 
-// Homes returns the upstreams that this router is the home of.
-func (n *Node) Homes() []Upstream {
+// HomedUpstreams returns the upstreams that this router is the home of.
+func (n *Node) HomedUpstreams() []Upstream {
 	var homes []Upstream
 	for _, p := range n.pools {
 		for _, u := range p.upstreams {
--- a/sched/message.go
+++ b/sched/message.go
@@ -12,13 +12,13 @@
 type Sync struct {
 	From        string `json:"f"`
 	Incarnation uint64 `json:"i"`
-	// To is the receiver's incarnation as the sender knows it; leases in a
+	// ToIncarnation is the receiver's incarnation as the sender knows it; leases in a
 	// message for an earlier incarnation are void.
-	To uint64 `json:"o,omitempty"`
-	// Live is a hash of the sender's live routers: the sender has claimed its
+	ToIncarnation uint64 `json:"o,omitempty"`
+	// LiveHash is a hash of the sender's live routers: the sender has claimed its
 	// slots from the homes that follow from them.
-	Live uint32 `json:"h,omitempty"`
-	Seq  uint64 `json:"s"`
+	LiveHash uint32 `json:"h,omitempty"`
+	Seq      uint64 `json:"s"`
 	// Ack is the highest sequence number heard from the receiver; 0 for none.
 	Ack uint64 `json:"a,omitempty"`
 	// Missed asks for everything: the sender missed a message.
--- a/sched/node.go
+++ b/sched/node.go
@@ -121,7 +121,7 @@
 		}
 		u, ok := kept[s.ID]
 		if !ok {
-			u = &upstream{holding: lease.NewHolding(s.ID), limit: limits.NewAdaptive(s.Slots)}
+			u = &upstream{holding: lease.NewHolder(s.ID), limit: limits.NewAdaptive(s.Slots)}
 		}
 		u.Upstream = s
 		u.limit.SetMost(s.Slots)
@@ -130,7 +130,7 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(kept)) {
 		u := kept[id]
-		u.Leaving = true
+		u.Draining = true
 		n.dropBook(u)
 		if u.holding.InUse() > 0 {
 			p.upstreams = append(p.upstreams, u)
@@ -158,7 +158,7 @@
 	for name := range n.links {
 		reachable := n.view.Reachable(now, name)
 		for _, p := range n.pools {
-			p.accounts.SetGone(name, !reachable)
+			p.accounts.SetUnreachable(name, !reachable)
 		}
 	}
 	live := n.view.Live(now)
@@ -183,10 +183,10 @@
 
 func (n *Node) rehomeOne(now time.Time, u *upstream) {
 	home := membership.Home(n.live, upstreamKey(u.ID))
-	u.holding.Rehome(home, n.incarnationOf(home))
+	u.holding.SetHome(home, n.incarnationOf(home))
 	if home != n.cfg.Router {
 		n.dropBook(u)
-		if u.holding.Claiming() {
+		if u.holding.ClaimPending() {
 			n.claim(u)
 		}
 		return
@@ -194,7 +194,7 @@
 	if u.book != nil {
 		return
 	}
-	u.book = lease.NewBook(u.ID, u.limit.Limit(), n.lastTerm, now.Add(n.openDelay()))
+	u.book = lease.NewTable(u.ID, u.limit.Limit(), n.lastTerm, now.Add(n.openDelay()))
 	n.lastTerm++
 	n.reportSelf(u)
 }
@@ -221,7 +221,7 @@
 	for _, p := range n.pools {
 		for _, u := range p.upstreams {
 			if u.book != nil {
-				u.book.Open(now)
+				u.book.EndGrace(now)
 			}
 		}
 	}
--- a/sched/pool.go
+++ b/sched/pool.go
@@ -26,9 +26,9 @@
 // upstream is one upstream as this router sees it.
 type upstream struct {
 	Upstream
-	holding *lease.Holding
+	holding *lease.Holder
 	// book is set while this router is the upstream's home.
-	book  *lease.Book
+	book  *lease.Table
 	limit *limits.Adaptive
 	load  limits.Load
 	// loadAt is when load came.
@@ -53,7 +53,7 @@
 
 // usable reports whether new work may be sent to the upstream.
 func (u *upstream) usable(now time.Time) bool {
-	return !u.Leaving && !now.Before(u.avoidUntil)
+	return !u.Draining && !now.Before(u.avoidUntil)
 }
 
 // idle is the number of slots that a request may be sent on now.
@@ -75,13 +75,13 @@
 		if n == 0 {
 			continue
 		}
-		if r.Prefix != 0 && u.prefix == r.Prefix && u.ID != r.Avoid {
+		if r.PrefixHash != 0 && u.prefix == r.PrefixHash && u.ID != r.AvoidUpstream {
 			return u
 		}
-		if u.ID == r.Avoid {
+		if u.ID == r.AvoidUpstream {
 			n = 1
 		}
-		if best == nil || n > most || best.ID == r.Avoid {
+		if best == nil || n > most || best.ID == r.AvoidUpstream {
 			best, most = u, n
 		}
 	}
--- a/sched/receive.go
+++ b/sched/receive.go
@@ -21,7 +21,7 @@
 	}
 	n.renew(now, l)
 	n.refresh(now)
-	l.settled = l.settled || (s.To == n.cfg.Incarnation && s.Ack >= l.changeSeq && s.Live == n.liveHash && !l.missed)
+	l.settled = l.settled || (s.ToIncarnation == n.cfg.Incarnation && s.Ack >= l.changeSeq && s.LiveHash == n.liveHash && !l.missed)
 	n.openBooks(now)
 	n.wakeAll(now)
 	n.noteGrants()
@@ -33,7 +33,7 @@
 func (n *Node) noteGrants() {
 	for _, p := range n.pools {
 		if p.granted {
-			p.accounts.Granted()
+			p.accounts.RecordGrants()
 		}
 		p.granted = false
 	}
@@ -68,15 +68,15 @@
 	// Who joins itself has nothing to give; two that join would answer each other
 	// without end.
 	// A peer whose live routers changed waits for an acknowledgement.
-	l.urgent = l.urgent || l.live != s.Live
-	l.live = s.Live
+	l.urgent = l.urgent || l.live != s.LiveHash
+	l.live = s.LiveHash
 	l.snapshot = l.snapshot || (s.Joining && n.joined)
 }
 
 // noteAck extends the leases from the peer: it heard a message of this
 // incarnation, sent at a known time.
 func (n *Node) noteAck(l *link, s Sync) {
-	if s.To != n.cfg.Incarnation || s.Ack == 0 {
+	if s.ToIncarnation != n.cfg.Incarnation || s.Ack == 0 {
 		return
 	}
 	if at, ok := l.acked(s.Ack); ok {
@@ -107,7 +107,7 @@
 	if len(part.Entries) > 0 {
 		p.accounts.Merge(now, s.From, s.Incarnation, part.Entries)
 	}
-	if s.To != n.cfg.Incarnation {
+	if s.ToIncarnation != n.cfg.Incarnation {
 		return
 	}
 	for _, g := range part.Grants {
@@ -123,7 +123,7 @@
 	if u == nil || u.holding.Home() != l.name || u.holding.HomeIncarnation() != l.incarnation {
 		return
 	}
-	p.granted = u.holding.Apply(g) || p.granted
+	p.granted = u.holding.ApplyGrant(g) || p.granted
 }
 
 func (n *Node) receiveReport(now time.Time, p *pool, l *link, r lease.Report) {
@@ -131,7 +131,7 @@
 	if u == nil || u.book == nil {
 		return
 	}
-	if _, answered := u.book.Report(l.name, l.incarnation, r, now.Add(n.cfg.LeaseTTL)); answered {
+	if _, answered := u.book.ApplyReport(l.name, l.incarnation, r, now.Add(n.cfg.LeaseTTL)); answered {
 		l.grants[u.ID] = true
 	}
 }
--- a/sched/ask.go
+++ b/sched/report.go
@@ -13,10 +13,10 @@
 // much that a holder would give up a slot for it. Else a slot that falls idle
 // here is as good, and the next report soon enough.
 func (n *Node) ask(now time.Time, p *pool, team fairness.TeamID) {
-	if !p.accounts.Unasked(team) {
+	if !p.accounts.HasUnadvertised(team) {
 		return
 	}
-	if n.askTooSoon(now, p) || (p.accounts.AllPeersWait() && p.running() > 0 && !n.stalled(now, p)) {
+	if n.askTooSoon(now, p) || (p.accounts.AllPeersBacklogged() && p.running() > 0 && !n.stalled(now, p)) {
 		return
 	}
 	n.askedAt = now
@@ -27,7 +27,7 @@
 // fall idle now and then anyway. A fleet that is just full would otherwise ask
 // all peers for each request. A burst is asked for at once.
 func (n *Node) askTooSoon(now time.Time, p *pool) bool {
-	spacing := n.cfg.AskSpacing * p.accounts.MeanCost()
+	spacing := n.cfg.SlotRequestSpacing * p.accounts.MeanCost()
 	return p.running() > 0 && p.queue.Len() <= fewWaiting && now.Sub(n.askedAt).Seconds() < spacing
 }
 
@@ -39,7 +39,7 @@
 func (n *Node) askAgain(now time.Time) {
 	for _, id := range slices.Sorted(maps.Keys(n.pools)) {
 		p := n.pools[id]
-		if p.accounts.AnyUnasked() && !p.accounts.AllPeersWait() && !n.askTooSoon(now, p) {
+		if p.accounts.AnyUnadvertised() && !p.accounts.AllPeersBacklogged() && !n.askTooSoon(now, p) {
 			n.askedAt = now
 			n.report(now, true)
 			return
@@ -50,7 +50,7 @@
 // tellIdle corrects the peers at once when they think that teams wait here while
 // slots stand idle: they would not ask for one, and work would wait beside it.
 func (n *Node) tellIdle(now time.Time, p *pool) {
-	if p.anyIdle(now) != nil && p.accounts.BelievedWaiting() {
+	if p.anyIdle(now) != nil && p.accounts.WaitingReportOutdated() {
 		n.report(now, true)
 	}
 }
@@ -60,7 +60,7 @@
 	n.reportedAt = now
 	for _, id := range slices.Sorted(maps.Keys(n.pools)) {
 		p := n.pools[id]
-		due := p.accounts.Due(now, force)
+		due := p.accounts.DueEntries(now, force)
 		if len(due) == 0 {
 			continue
 		}
@@ -92,5 +92,5 @@
 // stalled reports whether a team waits here that a holder elsewhere would give
 // up a slot for, if it knew.
 func (n *Node) stalled(now time.Time, p *pool) bool {
-	return p.accounts.Stalled(now, n.cfg.Hysteresis*p.accounts.MeanCost())
+	return p.accounts.HasUnreportedLag(now, n.cfg.Hysteresis*p.accounts.MeanCost())
 }
--- a/sched/request.go
+++ b/sched/request.go
@@ -16,11 +16,11 @@
 	Pool int
 	// Deadline is when the caller stops waiting; zero for never.
 	Deadline time.Time
-	// Prefix is a hash of the prompt's start; 0 for none. An upstream that
+	// PrefixHash is a hash of the prompt's start; 0 for none. An upstream that
 	// served it lately is likely to have it in its prefix cache.
-	Prefix uint64
-	// Avoid is an upstream that failed this request before; 0 for none.
-	Avoid int
+	PrefixHash uint64
+	// AvoidUpstream is an upstream that failed this request before; 0 for none.
+	AvoidUpstream int
 }
 
 // running is a request that holds a slot.
--- a/sched/requests.go
+++ b/sched/requests.go
@@ -14,8 +14,8 @@
 	maxRetryAfter = time.Minute
 )
 
-// Arrive takes in a caller's request. It is dispatched, queued or refused.
-func (n *Node) Arrive(now time.Time, r Request) {
+// Submit takes in a caller's request. It is dispatched, queued or refused.
+func (n *Node) Submit(now time.Time, r Request) {
 	p, ok := n.pools[r.Pool]
 	if !ok {
 		n.do(Refuse{Request: r.ID, Reason: NoPool, RetryAfter: minRetryAfter})
@@ -25,7 +25,7 @@
 		n.do(Refuse{Request: r.ID, Reason: reason, RetryAfter: n.retryAfter(p, r.Team)})
 		return
 	}
-	p.accounts.Arrive(now, r.Team)
+	p.accounts.Activate(now, r.Team)
 	n.requests[r.ID] = &r
 	p.queue.Push(r.Team, r.ID)
 	p.accounts.SetWaiting(now, r.Team, p.queue.Waiting(r.Team))
@@ -38,11 +38,11 @@
 func (n *Node) refusal(now time.Time, p *pool, r *Request) (Reason, bool) {
 	switch {
 	case n.leaving:
-		return Leaving, true
+		return ShuttingDown, true
 	case p.queue.Waiting(r.Team) >= n.cfg.QueuePerTeam:
 		return QueueFull, true
 	case !r.Deadline.IsZero() && now.Add(n.drainTime(p, r.Team)).After(r.Deadline):
-		return TooLate, true
+		return DeadlinePassed, true
 	}
 	return "", false
 }
@@ -80,7 +80,7 @@
 	if r == nil {
 		return
 	}
-	p.accounts.Learn(now.Sub(r.started))
+	p.accounts.ObserveCost(now.Sub(r.started))
 	p.ended(now)
 	n.wake(now, p)
 	n.flush(now)
@@ -109,7 +109,7 @@
 	p := n.pools[r.Pool]
 	p.accounts.End(now, r.Team, r.started)
 	if u := n.upstreamOf(p, r.upstream); u != nil {
-		u.holding.Done()
+		u.holding.Release()
 	}
 	return r, p
 }
@@ -125,7 +125,7 @@
 		delete(n.requests, id)
 		p.queue.Remove(r.Team, id)
 		p.accounts.SetWaiting(now, r.Team, p.queue.Waiting(r.Team))
-		n.do(Refuse{Request: id, Reason: Leaving, RetryAfter: minRetryAfter})
+		n.do(Refuse{Request: id, Reason: ShuttingDown, RetryAfter: minRetryAfter})
 	}
 	n.refresh(now)
 	n.giveBack(now)
--- a/sched/wake.go
+++ b/sched/schedule.go
@@ -49,13 +49,13 @@
 	r := n.requests[id]
 	delete(n.requests, id)
 	u := p.pick(now, r)
-	u.holding.Use()
-	if r.Prefix != 0 {
-		u.prefix = r.Prefix
+	u.holding.Acquire()
+	if r.PrefixHash != 0 {
+		u.prefix = r.PrefixHash
 	}
 	p.accounts.Start(now, c.Team)
 	n.running[id] = &running{Request: *r, upstream: u.ID, started: now}
-	n.do(Dispatch{Request: id, Upstream: u.ID, Until: u.holding.Until()})
+	n.do(Dispatch{Request: id, Upstream: u.ID, LeaseExpiry: u.holding.LeaseExpiry()})
 }
 
 // pass gives an idle slot up for the remote candidate, and half of the upstream's
@@ -71,7 +71,7 @@
 		return false
 	}
 	if u.book == nil {
-		p.accounts.Assume(remote.Router, remote.Team, 1)
+		p.accounts.AssumeGranted(remote.Router, remote.Team, 1)
 		return true
 	}
 	n.allocate(now, p)
--- a/sched/send.go
+++ b/sched/send.go
@@ -21,8 +21,8 @@
 	l.times[l.seq] = now
 	l.sentAt = now
 	s := Sync{
-		From: n.cfg.Router, Incarnation: n.cfg.Incarnation, To: l.incarnation,
-		Seq: l.seq, Live: n.liveHash, Missed: l.missed, Joining: !n.joined, Leaving: n.leaving,
+		From: n.cfg.Router, Incarnation: n.cfg.Incarnation, ToIncarnation: l.incarnation,
+		Seq: l.seq, LiveHash: n.liveHash, Missed: l.missed, Joining: !n.joined, Leaving: n.leaving,
 	}
 	if l.urgent || now.Sub(l.ackSentAt) >= n.cfg.Heartbeat {
 		// Leases live for several heartbeats, so more would only cost bytes.
@@ -41,7 +41,7 @@
 func (n *Node) poolSync(now time.Time, p *pool, l *link) PoolSync {
 	part := PoolSync{Pool: p.id, Entries: l.due[p.id]}
 	if l.full {
-		part.Entries = p.accounts.Full(now)
+		part.Entries = p.accounts.AllEntries(now)
 	}
 	if l.snapshot {
 		s := p.accounts.Snapshot(now)
@@ -49,7 +49,7 @@
 	}
 	for _, u := range p.upstreams {
 		if u.book != nil && (l.grants[u.ID] || l.full) {
-			if g, ok := u.book.Current(l.name, l.incarnation); ok {
+			if g, ok := u.book.CurrentGrant(l.name, l.incarnation); ok {
 				part.Grants = append(part.Grants, g)
 			}
 		}
--- a/sched/settings.go
+++ b/sched/settings.go
@@ -20,6 +20,6 @@
 	ID    int
 	Pool  int
 	Slots int
-	// Leaving upstreams get no new work; their running requests end.
-	Leaving bool
+	// Draining upstreams get no new work; their running requests end.
+	Draining bool
 }
--- a/sched/tick.go
+++ b/sched/tick.go
@@ -69,12 +69,12 @@
 			u.holding.Extend(n.ownLease())
 			u.book.Expire(now)
 			n.setLimit(now, u)
-			if u.holding.Claiming() {
+			if u.holding.ClaimPending() {
 				n.reportSelf(u)
 			}
 			continue
 		}
-		if u.holding.Expire(now) || u.holding.Claiming() {
+		if u.holding.Expire(now) || u.holding.ClaimPending() {
 			n.claim(u)
 		}
 	}
@@ -100,6 +100,6 @@
 		delete(n.requests, id)
 		p.queue.Remove(r.Team, id)
 		p.accounts.SetWaiting(now, r.Team, p.queue.Waiting(r.Team))
-		n.do(Refuse{Request: id, Reason: TooLate, RetryAfter: n.retryAfter(p, r.Team)})
+		n.do(Refuse{Request: id, Reason: DeadlinePassed, RetryAfter: n.retryAfter(p, r.Team)})
 	}
 }
