--- a/daemon/fleet.go
+++ b/daemon/fleet.go
@@ -49,7 +49,7 @@
 		return nil, err
 	}
 	nodeCfg := nodeConfig(s)
-	nodeCfg.Cached = func(ctx context.Context, address string) (fleet.Kept, error) {
+	nodeCfg.CachedParts = func(ctx context.Context, address string) (fleet.CacheReport, error) {
 		return platform.CachedParts(ctx, d.pool, address)
 	}
 	nodeCfg.WarmUpLeft = func(ctx context.Context, u *registry.Upstream, healthPath string) (time.Duration, error) {
@@ -62,7 +62,7 @@
 	node := fleet.New(nodeCfg, transport, boottime.Now, log)
 	d.node = node
 	source := platform.NewSource(s.Platform, platformClient(), log)
-	d.feed = feed.New(feed.DefaultConfig(s.Bounds.Revoke(), s.Bounds.Apply()), source, boottime.Now, log, node.Reads, node.Changed)
+	d.feed = feed.New(feed.DefaultConfig(s.Bounds.Revoke(), s.Bounds.Apply()), source, boottime.Now, log, node.ReadsPlatform, node.NotifyStateChange)
 	node.Attach(d.feed)
 	cfg := gateway.DefaultConfig()
 	cfg.Names = platform.Names()
@@ -82,9 +82,9 @@
 	cfg.IP, cfg.Port, cfg.Domain, cfg.Weight = s.Peers.IP, s.Peers.Port, s.FailureDomain, s.Processor
 	cfg.Seeds = seedIPs(s.Peers.Seeds)
 	// A view that its own router would renew is too old to pass on.
-	cfg.LeadAge = feed.DefaultConfig(s.Bounds.Revoke(), s.Bounds.Apply()).StaleAfter
+	cfg.MaxLeaderStateAge = feed.DefaultConfig(s.Bounds.Revoke(), s.Bounds.Apply()).StaleAfter
 	// A view passes two routers on its way and must arrive well before that age.
-	cfg.Ping = cfg.LeadAge / 6
+	cfg.StatePollInterval = cfg.MaxLeaderStateAge / 6
 	cfg.Regions, cfg.WarmUp = s.Regions, s.Bounds.WarmUp()
 	cfg.Engine.ShareWindow = time.Duration(s.Bounds.ShareWindowS * float64(time.Second))
 	return cfg
--- a/daemon/load.go
+++ b/daemon/load.go
@@ -38,7 +38,7 @@
 				Int64("lag_ms", d.node.Lag().Milliseconds()).Int64("read_lag_ms", d.node.ReadLag().Milliseconds()).Int64("platform_calls", called-calls).Uint64("heap_kb", m.HeapAlloc>>10).Uint64("stack_kb", m.StackInuse>>10).Uint64("runtime_kb", (m.Sys-m.HeapReleased)>>10).Uint32("collections", m.NumGC).Msg("load")
 		}
 		if l.Asked != last.Asked {
-			d.node.MarkRead()
+			d.node.MeasureReadLag()
 		}
 		last, used, calls = l, cpu, called
 	}
--- a/fleet/ask.go
+++ b/fleet/ask.go
@@ -20,7 +20,7 @@
 func (n *Node) ask(now boottime.Time, p *pending) {
 	p.home = n.homeOf(now, p.group)
 	p.homes++
-	p.again = now.Add(n.cfg.AskAgain)
+	p.again = now.Add(n.cfg.PlacementRetryInterval)
 	if p.home == nil {
 		n.deliver(now, p.key, p.group.core.Ask(time.Duration(now), p.request))
 		return
@@ -44,11 +44,11 @@
 			continue
 		}
 		if now >= p.again {
-			p.again = now.Add(max(n.cfg.AskAgain, 2*n.Lag()))
+			p.again = now.Add(max(n.cfg.PlacementRetryInterval, 2*n.Lag()))
 			if p.acked {
 				p.again = now.Add(confirmEvery)
 				p.acked = false
-				p.local = now.Add(n.cfg.AskLocal)
+				p.local = now.Add(n.cfg.PlacementTimeout)
 			}
 			n.send(p.home.addr, &packet{Ask: n.newAsk(p.key, p.request)})
 		}
@@ -98,7 +98,7 @@
 	})
 	n.cancelAt(silent, p.key, p.request.Ticket.Seq)
 	if p.homes < maxHomes && now.Sub(n.heardAt) < isolatedAfter {
-		p.local = now.Add(n.cfg.AskLocal)
+		p.local = now.Add(n.cfg.PlacementTimeout)
 		n.ask(now, p)
 		return
 	}
--- a/fleet/behind_test.go
+++ b/fleet/behind_test.go
@@ -60,7 +60,7 @@
 // ends: what comes in is handled in the short while between.
 func keepBusy(ctx context.Context, n *fleet.Node, busy, free time.Duration) {
 	for ctx.Err() == nil {
-		n.Hold(busy)
+		n.BlockControl(busy)
 		time.Sleep(busy + free)
 	}
 }
--- a/fleet/kept.go
+++ b/fleet/cache_report.go
@@ -6,7 +6,7 @@
 )
 
 // Kept is what an engine says that it keeps.
-type Kept struct {
+type CacheReport struct {
 	// Started is when its process started, 0 if it doesn't say.
 	Started int64
 	Parts   []dispatch.Part
@@ -14,7 +14,7 @@
 
 // from is the incarnation that said it. The one that was asked may have started again
 // meanwhile, or its entry may be older than its answer.
-func (k *Kept) from(asked *registry.Upstream) dispatch.Incarnation {
+func (k *CacheReport) from(asked *registry.Upstream) dispatch.Incarnation {
 	i := incarnation(asked)
 	if k.Started != 0 {
 		i.Started = k.Started
--- a/fleet/config.go
+++ b/fleet/config.go
@@ -26,36 +26,36 @@
 	// Beat is the least time between two heartbeats to a peer. BeatPerPeer
 	// stretches it with the fleet, so that a router sends a hundred a second at
 	// most.
-	Beat, BeatPerPeer time.Duration
+	HeartbeatInterval, HeartbeatIntervalPerPeer time.Duration
 	// Ping is how often a router asks those that read the platform how fresh
 	// the state is.
-	Ping time.Duration
+	StatePollInterval time.Duration
 	// LeadAge is how old a router's view of the platform may be for it to pass
 	// the view on to others.
-	LeadAge time.Duration
+	MaxLeaderStateAge time.Duration
 	// Hubs are the routers that all others hear often; homes are chosen among them.
 	// Twelve are enough for the homes of 950 upstreams (30 groups) at three each, with
 	// some lost. HubsInDomain more know the published state in each failure domain.
-	Hubs, HubsInDomain int
+	Hubs, HubsPerDomain int
 	// Missed is how many heartbeats may fail to come before a peer isn't used.
-	Missed int
+	MissedHeartbeats int
 	// Forget is when a silent peer is no longer a member.
-	Forget time.Duration
+	ForgetAfter time.Duration
 	// AskAgain is when an unanswered question is asked again, AskLocal when it is
 	// decided here. A home whose processor share is used up for the moment
 	// answers within a tenth of a second.
-	AskAgain, AskLocal time.Duration
+	PlacementRetryInterval, PlacementTimeout time.Duration
 	// GroupSize is how many upstreams one home decides for, roughly.
 	GroupSize int
 	// Cached asks an engine at an address which prompt parts it keeps; nil if
 	// engines can't be asked.
-	Cached func(ctx context.Context, address string) (Kept, error)
+	CachedParts func(ctx context.Context, address string) (CacheReport, error)
 	// WarmUpLeft asks an upstream at its health path how much longer it warms up; nil if that
 	// can't be asked.
 	WarmUpLeft func(ctx context.Context, u *registry.Upstream, healthPath string) (time.Duration, error)
 	// Seed of the process's random numbers, among them its incarnation: two
 	// processes must not have the same.
-	Seed uint64
+	RandomSeed uint64
 	// Regions are the regions of failure domains.
 	Regions map[string]string
 	// WarmUp bounds what is sent to upstreams that are warming up.
@@ -69,17 +69,17 @@
 // DefaultConfig returns the settings that a deployment changes.
 func DefaultConfig() Config {
 	return Config{
-		Beat:        250 * time.Millisecond,
-		BeatPerPeer: 10 * time.Millisecond,
-		Ping:        200 * time.Millisecond,
-		LeadAge:     leadAge,
-		Hubs:        12, HubsInDomain: 2,
-		Missed:    4,
-		Forget:    10 * time.Second,
-		AskAgain:  45 * time.Millisecond,
-		AskLocal:  100 * time.Millisecond,
-		GroupSize: 32,
-		Seed:      rand.Uint64(),
+		HeartbeatInterval:        250 * time.Millisecond,
+		HeartbeatIntervalPerPeer: 10 * time.Millisecond,
+		StatePollInterval:        200 * time.Millisecond,
+		MaxLeaderStateAge:        leadAge,
+		Hubs:                     12, HubsPerDomain: 2,
+		MissedHeartbeats:       4,
+		ForgetAfter:            10 * time.Second,
+		PlacementRetryInterval: 45 * time.Millisecond,
+		PlacementTimeout:       100 * time.Millisecond,
+		GroupSize:              32,
+		RandomSeed:             rand.Uint64(),
 
 		WarmUp:     warmup.DefaultPolicy(),
 		Quarantine: quarantine.DefaultConfig(),
--- a/fleet/dump.go
+++ b/fleet/dump.go
@@ -12,14 +12,14 @@
 
 // Dump is a node's state, for operators.
 type Dump struct {
-	Router   uint64 `json:"router"`
-	Domain   string `json:"failureDomain"`
-	Hub      bool   `json:"hub"`
-	Reads    bool   `json:"readsPlatform"`
-	Revision int64  `json:"revision"`
-	AgeMs    int64  `json:"ageMs"`
-	Pending  int    `json:"pending"`
-	Held     int    `json:"held"`
+	Router        uint64 `json:"router"`
+	Domain        string `json:"failureDomain"`
+	Hub           bool   `json:"hub"`
+	ReadsPlatform bool   `json:"readsPlatform"`
+	Revision      int64  `json:"revision"`
+	AgeMs         int64  `json:"ageMs"`
+	Pending       int    `json:"pending"`
+	Held          int    `json:"held"`
 	// Evacuated are the failure domains that are being evacuated.
 	Evacuated []string     `json:"evacuated"`
 	Members   []MemberDump `json:"members"`
@@ -39,13 +39,13 @@
 
 // MemberDump is a peer's.
 type MemberDump struct {
-	Router  uint64 `json:"router"`
-	Address string `json:"address"`
-	Domain  string `json:"failureDomain"`
-	Hub     bool   `json:"hub"`
-	Leaving bool   `json:"leaving"`
-	Doubted bool   `json:"doubted"`
-	HeardMs int64  `json:"heardMs"`
+	Router        uint64 `json:"router"`
+	Address       string `json:"address"`
+	Domain        string `json:"failureDomain"`
+	Hub           bool   `json:"hub"`
+	Leaving       bool   `json:"leaving"`
+	Unresponsive  bool   `json:"doubted"`
+	LastContactMs int64  `json:"heardMs"`
 }
 
 // GroupDump is a group's.
@@ -68,7 +68,7 @@
 }
 
 func (n *Node) dump(now boottime.Time) Dump {
-	d := Dump{Router: n.self, Domain: n.cfg.Domain, Hub: n.hub, Reads: n.reads.Load(), Pending: len(n.pending), Held: len(n.held)}
+	d := Dump{Router: n.self, Domain: n.cfg.Domain, Hub: n.hub, ReadsPlatform: n.reads.Load(), Pending: len(n.pending), Held: len(n.held)}
 	if n.feed != nil {
 		d.AgeMs = n.feed.Age().Milliseconds()
 		if s := n.feed.Snapshot(); s != nil {
@@ -78,7 +78,7 @@
 	for _, m := range n.members {
 		d.Members = append(d.Members, MemberDump{
 			Router: m.id, Address: m.addr.String(), Domain: m.domain, Hub: m.hub,
-			Leaving: m.leaving, Doubted: m.doubted, HeardMs: now.Sub(m.heard).Milliseconds(),
+			Leaving: m.leaving, Unresponsive: m.doubted, LastContactMs: now.Sub(m.heard).Milliseconds(),
 		})
 	}
 	for _, g := range n.groups {
--- a/fleet/events.go
+++ b/fleet/events.go
@@ -41,7 +41,7 @@
 )
 
 // Changed tells that the published state has changed.
-func (n *Node) Changed() {
+func (n *Node) NotifyStateChange() {
 	select {
 	case n.events <- changeEvent{}:
 	default: // the tick finds the change as well
--- a/fleet/export_test.go
+++ b/fleet/export_test.go
@@ -12,7 +12,7 @@
 
 // Hold keeps the control goroutine busy for a while, as a VM does whose processor
 // is taken up by other work. Call it from a goroutine of its own.
-func (n *Node) Hold(d time.Duration) {
+func (n *Node) BlockControl(d time.Duration) {
 	n.post(inspectEvent{do: func(boottime.Time) { time.Sleep(d) }})
 }
 
@@ -30,7 +30,7 @@
 
 // Account is how a team stands at a group's home, which must be this router; ok is unset
 // if it is another.
-func (n *Node) Account(service string, group int, team string) (state dispatch.TeamState, ok bool) {
+func (n *Node) TeamAccount(service string, group int, team string) (state dispatch.TeamState, ok bool) {
 	type answer struct {
 		state dispatch.TeamState
 		ok    bool
@@ -55,7 +55,7 @@
 }
 
 // AddsUp reports whether this router adds up what homes gave a team, as it sees the fleet.
-func (n *Node) AddsUp(team string) bool {
+func (n *Node) AggregatesUsage(team string) bool {
 	answers := make(chan bool, 1)
 	n.post(inspectEvent{do: func(now boottime.Time) { answers <- n.hubFor(now, tallyKey(team)) == nil }})
 	return <-answers
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -179,13 +179,13 @@
 func (c *cluster) run(i int, s *source) {
 	cfg := fleet.DefaultConfig()
 	cfg.IP, cfg.Port, cfg.Domain, cfg.Weight = addr(i).Addr().String(), int(addr(i).Port()), "d", 1
-	cfg.Seeds, cfg.Seed = []string{addr(0).Addr().String()}, uint64(i+1)
-	cfg.LeadAge = feed.DefaultConfig(revoke, revoke).StaleAfter
+	cfg.Seeds, cfg.RandomSeed = []string{addr(0).Addr().String()}, uint64(i+1)
+	cfg.MaxLeaderStateAge = feed.DefaultConfig(revoke, revoke).StaleAfter
 	c.shape(i, &cfg)
 	began := time.Now().Add(-c.up)
 	now := func() boottime.Time { return boottime.Time(time.Since(began)) }
 	m := &member{node: fleet.New(cfg, c.net.listen(addr(i)), now, zerolog.Nop()), done: make(chan struct{}), addr: addr(i)}
-	m.feed = feed.New(feed.DefaultConfig(revoke, revoke), s, now, zerolog.Nop(), m.node.Reads, m.node.Changed)
+	m.feed = feed.New(feed.DefaultConfig(revoke, revoke), s, now, zerolog.Nop(), m.node.ReadsPlatform, m.node.NotifyStateChange)
 	m.node.Attach(m.feed)
 	ctx, cancel := context.WithCancel(context.Background())
 	m.stop = cancel
@@ -299,7 +299,7 @@
 		g.Eventually(func() int {
 			readers := 0
 			for _, m := range all {
-				if m.node.Reads() {
+				if m.node.ReadsPlatform() {
 					readers++
 				}
 			}
--- a/fleet/group.go
+++ b/fleet/group.go
@@ -199,7 +199,7 @@
 // what they keep, each once.
 func (n *Node) askCached(key groupKey) {
 	s := n.feed.Snapshot()
-	if s == nil || n.cfg.Cached == nil {
+	if s == nil || n.cfg.CachedParts == nil {
 		return
 	}
 	if svc := s.Table.Service(key.service); svc == nil || svc.Engine == nil {
@@ -217,7 +217,7 @@
 func (n *Node) askCachedOf(key groupKey, u *registry.Upstream) {
 	ctx, cancel := context.WithTimeout(context.Background(), cachedTimeout)
 	defer cancel()
-	kept, err := n.cfg.Cached(ctx, u.Address)
+	kept, err := n.cfg.CachedParts(ctx, u.Address)
 	if err != nil {
 		n.limited.Warn("cached", func(e *obs.Event) {
 			e.Str("upstream", u.ID).Err(err).Msg("engine didn't say what it keeps")
--- a/fleet/hubs.go
+++ b/fleet/hubs.go
@@ -69,7 +69,7 @@
 			all = append(all, m.candidate)
 		}
 	}
-	chosen := chooseHubs(all, n.cfg.Hubs, n.cfg.HubsInDomain)
+	chosen := chooseHubs(all, n.cfg.Hubs, n.cfg.HubsPerDomain)
 	n.hub = chosen[n.self]
 	for _, m := range n.members {
 		if hub := chosen[m.id]; hub != m.hub {
@@ -85,7 +85,7 @@
 
 // period is the time between two heartbeats of routers that hear each other often.
 func (n *Node) period() time.Duration {
-	return max(n.cfg.Beat, time.Duration(len(n.members))*n.cfg.BeatPerPeer)
+	return max(n.cfg.HeartbeatInterval, time.Duration(len(n.members))*n.cfg.HeartbeatIntervalPerPeer)
 }
 
 func (n *Node) periodOf(m *member) time.Duration {
@@ -98,7 +98,7 @@
 // silenceOf is how long a peer may be silent and still be used. One that has just
 // become a hub was heard rarely until then.
 func (n *Node) silenceOf(now boottime.Time, m *member) time.Duration {
-	silence := time.Duration(n.cfg.Missed) * n.period()
+	silence := time.Duration(n.cfg.MissedHeartbeats) * n.period()
 	if n.near(m) && now.Sub(m.nearAt) > silence {
 		return silence
 	}
@@ -107,5 +107,5 @@
 
 // forgetAfter is when a silent peer is no longer a member.
 func (n *Node) forgetAfter(now boottime.Time, m *member) time.Duration {
-	return max(n.cfg.Forget, n.silenceOf(now, m)*3/2)
+	return max(n.cfg.ForgetAfter, n.silenceOf(now, m)*3/2)
 }
--- a/fleet/hubs_test.go
+++ b/fleet/hubs_test.go
@@ -18,7 +18,7 @@
 	const routers, domains, strongEach = 18, 2, 3
 	c := newCluster(t)
 	c.shape = func(i int, cfg *fleet.Config) {
-		cfg.Hubs, cfg.HubsInDomain = 3, 1
+		cfg.Hubs, cfg.HubsPerDomain = 3, 1
 		cfg.Domain, cfg.Weight = fmt.Sprint("d", i%domains), 0.19
 		if i < domains*strongEach {
 			cfg.Weight = 0.8
@@ -48,7 +48,7 @@
 		time.Sleep(2 * time.Second)
 		const span = 3
 		// What heartbeats of all to all would be a second.
-		all := len(c.all) * int(time.Second/fleet.DefaultConfig().Beat)
+		all := len(c.all) * int(time.Second/fleet.DefaultConfig().HeartbeatInterval)
 		before := map[*member]int{}
 		for _, m := range c.all {
 			before[m], _ = c.net.traffic(m.addr)
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -101,7 +101,7 @@
 // when Run ends.
 func New(cfg Config, t Transport, now boottime.Clock, log zerolog.Logger) *Node {
 	n := &Node{
-		cfg: cfg, now: now, log: log, net: t, random: rand.New(rand.NewPCG(cfg.Seed, 0)),
+		cfg: cfg, now: now, log: log, net: t, random: rand.New(rand.NewPCG(cfg.RandomSeed, 0)),
 		limited: obs.NewLimited(log, logLines),
 		events:  make(chan any, eventQueue), over: make(chan struct{}),
 		members: map[uint64]*member{}, byIP: map[string]*member{}, groups: map[groupKey]*group{},
@@ -124,7 +124,7 @@
 func (n *Node) Attach(f *feed.Feed) { n.feed = f }
 
 // Reads reports whether this router reads the platform for its failure domain.
-func (n *Node) Reads() bool { return n.reads.Load() }
+func (n *Node) ReadsPlatform() bool { return n.reads.Load() }
 
 // Routers is the number of routers heard of lately, this one included.
 func (n *Node) Routers() int { return int(n.routers.Load()) }
--- a/fleet/place.go
+++ b/fleet/place.go
@@ -97,7 +97,7 @@
 	e.request.Warm = n.warmFor(s, e.request.Parts)
 	p := &pending{request: e.request, key: key, group: g, answer: e.answer, asked: now}
 	n.pending[e.request.Ticket.Seq] = p
-	p.local = now.Add(n.cfg.AskLocal)
+	p.local = now.Add(n.cfg.PlacementTimeout)
 	n.ask(now, p)
 }
 
--- a/fleet/mark.go
+++ b/fleet/read_lag.go
@@ -65,4 +65,4 @@
 }
 
 // MarkRead sends a mark, so that ReadLag is renewed.
-func (n *Node) MarkRead() { n.post(inspectEvent{do: n.sendMark}) }
+func (n *Node) MeasureReadLag() { n.post(inspectEvent{do: n.sendMark}) }
--- a/fleet/readers.go
+++ b/fleet/readers.go
@@ -70,7 +70,7 @@
 	if ask == nil && !reads {
 		ask = readers[0].peer
 	}
-	if ask != nil && now.Sub(ask.pingAt) >= n.cfg.Ping {
+	if ask != nil && now.Sub(ask.pingAt) >= n.cfg.StatePollInterval {
 		ask.pingAt = now
 		n.beatTo(now, ask, true)
 	}
@@ -93,7 +93,7 @@
 		if !m.hub {
 			continue
 		}
-		candidate := &lead{peer: m, score: m.readerScore, old: m.stateAge > n.cfg.LeadAge}
+		candidate := &lead{peer: m, score: m.readerScore, old: m.stateAge > n.cfg.MaxLeaderStateAge}
 		if l := leads[m.domain]; l == nil || candidate.before(l) {
 			leads[m.domain] = candidate
 		}
@@ -105,7 +105,7 @@
 }
 
 func (n *Node) stateOld() bool {
-	return n.feed != nil && n.feed.Snapshot() != nil && n.feed.Age() > n.cfg.LeadAge
+	return n.feed != nil && n.feed.Snapshot() != nil && n.feed.Age() > n.cfg.MaxLeaderStateAge
 }
 
 // pushState tells a change at once: a reader tells the leads, a lead tells its
--- a/fleet/reboot_test.go
+++ b/fleet/reboot_test.go
@@ -22,7 +22,7 @@
 		s := &source{revision: 1, version: 1}
 		c := newCluster(t)
 		c.up = 3 * time.Hour
-		c.shape = func(i int, cfg *fleet.Config) { cfg.Seed = uint64(i+1) + uint64(c.up) }
+		c.shape = func(i int, cfg *fleet.Config) { cfg.RandomSeed = uint64(i+1) + uint64(c.up) }
 		c.start(routers, s)
 		time.Sleep(2 * time.Second)
 
--- a/fleet/tally_test.go
+++ b/fleet/team_usage_test.go
@@ -74,7 +74,7 @@
 	var out []dispatch.TeamState
 	for group := range tallyGroups {
 		for _, m := range up {
-			if state, ok := m.node.Account("llm", group, team); ok {
+			if state, ok := m.node.TeamAccount("llm", group, team); ok {
 				out = append(out, state)
 			}
 		}
@@ -134,7 +134,7 @@
 // isHome reports whether a router is the home of a group.
 func isHome(m *member) bool {
 	for group := range tallyGroups {
-		if _, ok := m.node.Account("llm", group, "narrow"); ok {
+		if _, ok := m.node.TeamAccount("llm", group, "narrow"); ok {
 			return true
 		}
 	}
@@ -150,7 +150,7 @@
 		defer cancel()
 		go c.load(ctx, c.all[:1])
 		time.Sleep(8 * time.Second)
-		lost := slices.IndexFunc(c.all, func(m *member) bool { return m.node.AddsUp("wide") })
+		lost := slices.IndexFunc(c.all, func(m *member) bool { return m.node.AggregatesUsage("wide") })
 		// What becomes of a group's home is another matter.
 		g.Expect(isHome(c.all[lost])).To(BeFalse())
 		up := c.without(c.all[lost])
