--- a/daemon/fleet.go
+++ b/daemon/fleet.go
@@ -65,13 +65,13 @@
 	d.feed = feed.New(feed.DefaultConfig(s.Bounds.Revoke(), s.Bounds.Apply()), source, boottime.Now, log, node.Reads, node.Changed)
 	node.Attach(d.feed)
 	cfg := gateway.DefaultConfig()
-	cfg.Names = platform.Names()
+	cfg.Headers = platform.Names()
 	cfg.Regions = s.Regions
 	cfg.Fit(int64(s.MemoryMB)<<20, s.Files)
-	cfg.Grace = s.Bounds.Grace()
-	cfg.OldView = s.Bounds.Apply() * 4 / 5
-	cfg.Linger = min(cfg.Linger, cfg.Grace/2)
-	cfg.Accept = min(cfg.Accept, cfg.Grace/3)
+	cfg.GracePeriod = s.Bounds.Grace()
+	cfg.MaxViewAge = s.Bounds.Apply() * 4 / 5
+	cfg.ShutdownDelay = min(cfg.ShutdownDelay, cfg.GracePeriod/2)
+	cfg.ForwardPeriod = min(cfg.ForwardPeriod, cfg.GracePeriod/3)
 	budget := retry.Budget{Ratio: s.Bounds.RetryRatio, Allowance: s.Bounds.RetryAllowance, Window: s.Bounds.RetryWindow()}
 	d.gateway = gateway.New(cfg, d.feed, node, d.pool, budget, obs.NewLimited(log, s.LogLines), d.metrics)
 	return d, nil
--- a/daemon/load.go
+++ b/daemon/load.go
@@ -28,16 +28,16 @@
 		case <-ticker.C:
 		}
 		l, cpu, called := d.gateway.Load(), processorTime(), d.feed.Calls()
-		if l.Asked != last.Asked || called != calls {
+		if l.Received != last.Received || called != calls {
 			var m runtime.MemStats
 			runtime.ReadMemStats(&m)
-			d.log.Info().Str("event", "load").Int64("asked", l.Asked-last.Asked).Int64("refused", l.Refused-last.Refused).
-				Int64("shed", l.Shed-last.Shed).Int64("opened", l.Opened-last.Opened).Int64("turned_away", l.TurnedAway-last.TurnedAway).
-				Int64("turning_away_ms", (l.TurningAway-last.TurningAway).Milliseconds()).Int64("connections", l.Connections).
-				Int64("held", l.Requests).Int64("processor_ms", (cpu-used).Milliseconds()).
+			d.log.Info().Str("event", "load").Int64("asked", l.Received-last.Received).Int64("refused", l.Refused-last.Refused).
+				Int64("shed", l.Shed-last.Shed).Int64("opened", l.OpenedConnections-last.OpenedConnections).Int64("turned_away", l.RejectedConnections-last.RejectedConnections).
+				Int64("turning_away_ms", (l.RejectionTime-last.RejectionTime).Milliseconds()).Int64("connections", l.OpenConnections).
+				Int64("held", l.ActiveRequests).Int64("processor_ms", (cpu-used).Milliseconds()).
 				Int64("lag_ms", d.node.Lag().Milliseconds()).Int64("read_lag_ms", d.node.ReadLag().Milliseconds()).Int64("platform_calls", called-calls).Uint64("heap_kb", m.HeapAlloc>>10).Uint64("stack_kb", m.StackInuse>>10).Uint64("runtime_kb", (m.Sys-m.HeapReleased)>>10).Uint32("collections", m.NumGC).Msg("load")
 		}
-		if l.Asked != last.Asked {
+		if l.Received != last.Received {
 			d.node.MarkRead()
 		}
 		last, used, calls = l, cpu, called
--- a/daemon/teams.go
+++ b/daemon/teams.go
@@ -36,11 +36,11 @@
 		case <-ticker.C:
 		}
 		lag := d.node.Lag()
-		for _, l := range d.gateway.TeamLoads(teamsTold) {
+		for _, l := range d.gateway.TakeTeamLoads(teamsTold) {
 			counters.add(&l)
-			d.log.Info().Str("event", "team").Str("team", l.Team).Int("asked", l.Asked).Int64("asked_tokens", int64(l.AskedTokens)).
-				Int("sent", l.Sent).Int64("sent_tokens", int64(l.SentTokens)).Int("begun", l.Begun).Int64("begun_tokens", int64(l.BegunTokens)).Int("over_share", l.OverShare).Int("no_room", l.NoRoom).
-				Int("shed", l.Shed).Int64("shed_age_ms", l.ShedAge.Milliseconds()).Int("busy", l.Busy).Int("full", l.Full).
+			d.log.Info().Str("event", "team").Str("team", l.Team).Int("asked", l.Received).Int64("asked_tokens", int64(l.ReceivedTokens)).
+				Int("sent", l.Sent).Int64("sent_tokens", int64(l.SentTokens)).Int("begun", l.Started).Int64("begun_tokens", int64(l.StartedTokens)).Int("over_share", l.OverShare).Int("no_room", l.NoCapacity).
+				Int("shed", l.Shed).Int64("shed_age_ms", l.ShedAge.Milliseconds()).Int("busy", l.RouterBusy).Int("full", l.RouterFull).
 				Int64("lag_ms", lag.Milliseconds()).Msg("a team's requests")
 		}
 	}
@@ -79,15 +79,15 @@
 
 func (c *teamCounters) add(l *gateway.TeamLoad) {
 	t := c.of(l.Team)
-	t.asked.Inc(int64(l.Asked))
+	t.asked.Inc(int64(l.Received))
 	t.sent.Inc(int64(l.Sent))
-	t.begun.Inc(int64(l.Begun))
+	t.begun.Inc(int64(l.Started))
 	t.overShare.Inc(int64(l.OverShare))
-	t.noRoom.Inc(int64(l.NoRoom))
+	t.noRoom.Inc(int64(l.NoCapacity))
 	t.shed.Inc(int64(l.Shed))
-	t.busy.Inc(int64(l.Busy))
-	t.full.Inc(int64(l.Full))
-	t.askedTokens.Inc(int64(l.AskedTokens))
+	t.busy.Inc(int64(l.RouterBusy))
+	t.full.Inc(int64(l.RouterFull))
+	t.askedTokens.Inc(int64(l.ReceivedTokens))
 	t.sentTokens.Inc(int64(l.SentTokens))
-	t.begunTokens.Inc(int64(l.BegunTokens))
+	t.begunTokens.Inc(int64(l.StartedTokens))
 }
--- a/fleet/shed.go
+++ b/fleet/shed.go
@@ -38,8 +38,8 @@
 	shedInDatagram = 60
 )
 
-// Shed implements gateway.Placer.
-func (n *Node) Shed(service string, r dispatch.Request) {
+// ReportShed implements gateway.Placer.
+func (n *Node) ReportShed(service string, r dispatch.Request) {
 	f, ok := dispatch.FingerprintOf(&r)
 	if !ok {
 		return
--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -17,7 +17,7 @@
 	notice := s.parseUpstreamNotice(a)
 	r.record.upstreamLeaving, r.record.upstreamRetryAfter = notice.leaving, notice.retryAfter
 	s.handleNotice(r, notice)
-	if a.Header.Get(s.cfg.Names.NotRun) != "" || a.Status == http.StatusMisdirectedRequest {
+	if a.Header.Get(s.cfg.Headers.NotRun) != "" || a.Status == http.StatusMisdirectedRequest {
 		return s.rejected(r, a)
 	}
 	if !s.plausible(a) {
@@ -44,7 +44,7 @@
 		return false
 	}
 	if a.Status < http.StatusMultipleChoices {
-		return a.Header.Get(s.cfg.Names.Seal) != "" && a.Header.Get("Content-Encoding") == ""
+		return a.Header.Get(s.cfg.Headers.Seal) != "" && a.Header.Get("Content-Encoding") == ""
 	}
 	return true
 }
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -8,46 +8,46 @@
 
 // Config tunes a Server.
 type Config struct {
-	Names Names
-	// Linger is how long a stopping server goes on accepting, so that the
+	Headers HeaderNames
+	// ShutdownDelay is how long a stopping server goes on accepting, so that the
 	// balancer and callers have moved before the listener closes.
-	Linger time.Duration
-	// Accept is how long a stopping server still sends requests to upstreams. An
+	ShutdownDelay time.Duration
+	// ForwardPeriod is how long a stopping server still sends requests to upstreams. An
 	// answer that begins later might be cut when the grace ends, so the caller
 	// is sent to another router instead.
-	Accept time.Duration
-	// Grace is how long running answers may go on after a stop.
-	Grace time.Duration
+	ForwardPeriod time.Duration
+	// GracePeriod is how long running answers may go on after a stop.
+	GracePeriod time.Duration
 	// Regions are the regions of failure domains.
 	Regions map[string]string
 	// Limits until a configuration is known.
 	HeaderTimeout, IdleTimeout time.Duration
 	MaxHeaderBytes             int
-	// KeepConns is the number of callers' connections above which answers close
+	// MaxKeepAliveConns is the number of callers' connections above which answers close
 	// theirs. Callers who are refused come back on new connections and keep the
 	// old: without a bound they take all descriptors, and then no upstream can
 	// be reached.
-	KeepConns int
+	MaxKeepAliveConns int
 	// MaxConns is the number of callers' connections above which new ones aren't taken,
 	// and are told to come back.
 	// It is above KeepConns: answers close the connections between the two, so that
 	// places become free.
 	MaxConns int
-	// QueueConns is how many new connections wait to be taken, at most.
-	QueueConns int
+	// ListenBacklog is how many new connections wait to be taken, at most.
+	ListenBacklog int
 	// MaxRequests is how many requests are held at once. Each takes memory until
 	// it ends; one more than fit would end the process and all of them.
 	MaxRequests int
 	// Shed tunes what is refused without asking.
 	Shed limits.ShedConfig
-	// OldView is how old the view may be for a router that is behind to send on
+	// MaxViewAge is how old the view may be for a router that is behind to send on
 	// it: within the bound for leaving upstreams, with room for the way there.
-	OldView time.Duration
+	MaxViewAge time.Duration
 	// DefaultDeadline is for callers that don't say how long they wait.
 	DefaultDeadline time.Duration
-	// EndMargin is how long before a caller's deadline it is told that no answer
+	// DeadlineMargin is how long before a caller's deadline it is told that no answer
 	// comes: the answer must still reach it.
-	EndMargin time.Duration
+	DeadlineMargin time.Duration
 }
 
 const (
@@ -65,28 +65,28 @@
 // Fit derives the bounds that keep the process within its memory and its
 // descriptors.
 func (c *Config) Fit(memory int64, files int) {
-	c.KeepConns = max(min(files/4, int(memory/6/ConnBytes)), 1)
-	c.MaxConns = max(min(files/2, int(memory/4/(ConnBytes+UnreadBytes))), c.KeepConns*5/4)
-	c.QueueConns = max(int(memory/16/UnreadBytes), 1)
+	c.MaxKeepAliveConns = max(min(files/4, int(memory/6/ConnBytes)), 1)
+	c.MaxConns = max(min(files/2, int(memory/4/(ConnBytes+UnreadBytes))), c.MaxKeepAliveConns*5/4)
+	c.ListenBacklog = max(int(memory/16/UnreadBytes), 1)
 	c.MaxRequests = max(min(files/3, int(memory/2/RequestBytes)), 1)
 }
 
 // DefaultConfig returns the settings that a deployment changes.
 func DefaultConfig() Config {
 	return Config{
-		Linger:          3500 * time.Millisecond,
-		Accept:          2500 * time.Millisecond,
-		Grace:           8 * time.Second,
-		HeaderTimeout:   3 * time.Second,
-		IdleTimeout:     15 * time.Second,
-		MaxHeaderBytes:  16 << 10,
-		KeepConns:       1000,
-		MaxConns:        1500,
-		QueueConns:      512,
-		MaxRequests:     2000,
-		Shed:            limits.DefaultShedConfig(),
-		OldView:         1600 * time.Millisecond,
-		DefaultDeadline: 15 * time.Second,
-		EndMargin:       10 * time.Millisecond,
+		ShutdownDelay:     3500 * time.Millisecond,
+		ForwardPeriod:     2500 * time.Millisecond,
+		GracePeriod:       8 * time.Second,
+		HeaderTimeout:     3 * time.Second,
+		IdleTimeout:       15 * time.Second,
+		MaxHeaderBytes:    16 << 10,
+		MaxKeepAliveConns: 1000,
+		MaxConns:          1500,
+		ListenBacklog:     512,
+		MaxRequests:       2000,
+		Shed:              limits.DefaultShedConfig(),
+		MaxViewAge:        1600 * time.Millisecond,
+		DefaultDeadline:   15 * time.Second,
+		DeadlineMargin:    10 * time.Millisecond,
 	}
 }
--- a/gateway/deps.go
+++ b/gateway/deps.go
@@ -9,8 +9,8 @@
 	"github.com/aspenswitch/aspenswitch/quarantine"
 )
 
-// State is what the gateway reads of the platform's published state.
-type State interface {
+// StateReader is what the gateway reads of the platform's published state.
+type StateReader interface {
 	// Snapshot is nil until a configuration is known.
 	Snapshot() *feed.Snapshot
 	// Authorized reports whether the snapshot is fresh enough to act upon.
@@ -27,9 +27,9 @@
 	// Group is the part of the service's upstreams whose home decides on a request.
 	Group(service string, r dispatch.Request) int
 	Done(service string, t dispatch.Ticket, o dispatch.Outcome, took time.Duration)
-	// Shed notes a request that this router has refused without asking, so that its
+	// ReportShed notes a request that this router has refused without asking, so that its
 	// caller is known when it comes back.
-	Shed(service string, r dispatch.Request)
+	ReportShed(service string, r dispatch.Request)
 	// NewTicket names a request.
 	NewTicket() dispatch.Ticket
 	// Lag is how far the router is behind with its work.
--- a/gateway/fakes_test.go
+++ b/gateway/fakes_test.go
@@ -100,7 +100,7 @@
 
 func (p *placer) Routers() int { return 1 }
 
-func (p *placer) Shed(_ string, r dispatch.Request) {
+func (p *placer) ReportShed(_ string, r dispatch.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.shed = append(p.shed, r)
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -24,8 +24,8 @@
 )
 
 // names of the headers in these tests: any will do.
-var names = gateway.Names{
-	RequestID: "X-Id", Deadline: "X-Left", Upstream: "X-Upstream", Team: "X-Team", Key: "X-Key",
+var names = gateway.HeaderNames{
+	RequestID: "X-Id", Deadline: "X-Left", Upstream: "X-Upstream", Team: "X-Team", APIKey: "X-Key",
 	Seal: "X-Seal", NotRun: "X-Not-Run", Leaving: "X-Leaving", Tokens: "X-Tokens", Parts: "X-Parts", LengthHint: "X-Hint",
 	Load: "X-Load", CopyFrom: "X-Copy", Private: []string{"X-Secret"},
 }
@@ -90,8 +90,8 @@
 	}
 	r.publish(reg.View(), "k1")
 	cfg := gateway.DefaultConfig()
-	cfg.Names = names
-	cfg.Linger, cfg.Accept = 300*time.Millisecond, 100*time.Millisecond
+	cfg.Headers = names
+	cfg.ShutdownDelay, cfg.ForwardPeriod = 300*time.Millisecond, 100*time.Millisecond
 	shape(&cfg)
 	metrics := obs.NewMetrics("test")
 	t.Cleanup(func() { _ = metrics.Close() })
@@ -197,7 +197,7 @@
 	req.Host = "h"
 	req.Header.Set(names.RequestID, "id1")
 	req.Header.Set(names.Deadline, "1500")
-	req.Header.Set(names.Key, "k1")
+	req.Header.Set(names.APIKey, "k1")
 	if edit != nil {
 		edit(req)
 	}
--- a/gateway/names.go
+++ b/gateway/header_names.go
@@ -1,7 +1,7 @@
 package gateway
 
-// Names are the headers by which callers and upstreams talk.
-type Names struct {
+// HeaderNames are the headers by which callers and upstreams talk.
+type HeaderNames struct {
 	// RequestID is the caller's name for this attempt; upstreams echo it.
 	RequestID string
 	// Deadline is the time left, in milliseconds.
@@ -10,8 +10,8 @@
 	Upstream string
 	// Team is the name of the team that holds the caller's key.
 	Team string
-	// Key is the caller's API key. It never goes to an upstream.
-	Key string
+	// APIKey is the caller's API key. It never goes to an upstream.
+	APIKey string
 	// Seal marks an upstream's own answer.
 	Seal string
 	// NotRun marks an answer whose request the upstream didn't run.
--- a/gateway/listener.go
+++ b/gateway/listener.go
@@ -79,12 +79,12 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := queue.bound(cfg.QueueConns); err != nil {
+	if err := queue.bound(cfg.ListenBacklog); err != nil {
 		return nil, err
 	}
 	clock := systemClock()
 	return &boundedListener{
-		Listener: l, queue: queue, clock: clock, queueConns: cfg.QueueConns, places: make(chan struct{}, cfg.MaxConns), over: make(chan struct{}),
+		Listener: l, queue: queue, clock: clock, queueConns: cfg.ListenBacklog, places: make(chan struct{}, cfg.MaxConns), over: make(chan struct{}),
 		log: log, emptyAt: clock.now(), busy: busyRefusal().closing(), refused: refused,
 	}, nil
 }
--- a/gateway/listener_test.go
+++ b/gateway/listener_test.go
@@ -55,13 +55,13 @@
 	t.Logf("%d held, %d answered, %d got no connection", len(held), answered.Load(), unconnected.Load())
 	half := smallMemory / 2 / (gateway.ConnBytes + gateway.UnreadBytes)
 	g.Expect(len(held)).To(BeNumerically("<=", half))
-	g.Expect(r.server.Load().Connections).To(BeNumerically("<=", half))
+	g.Expect(r.server.Load().OpenConnections).To(BeNumerically("<=", half))
 	// The others had an answer, but for those whose request was still on its way.
 	g.Expect(answered.Load()).To(BeNumerically(">", floodConns/2))
 	for c := range held {
 		_ = c.Close()
 	}
-	g.Eventually(func() int64 { return r.server.Load().Connections }, 10*time.Second).Should(BeZero())
+	g.Eventually(func() int64 { return r.server.Load().OpenConnections }, 10*time.Second).Should(BeZero())
 	resp, body, err := r.call("/unsafe/", nil)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(resp.StatusCode).To(Equal(http.StatusOK))
@@ -87,7 +87,7 @@
 		over.Wait()
 		g.Expect(served.Load()).To(BeNumerically("==", callers))
 	}
-	g.Expect(r.server.Load().TurnedAway).To(BeZero())
+	g.Expect(r.server.Load().RejectedConnections).To(BeZero())
 }
 
 // openUnlessRefused connects and sends; it returns the connection unless that was refused,
--- a/gateway/load.go
+++ b/gateway/load.go
@@ -14,24 +14,24 @@
 
 // Load is what callers have asked of a server since its start, and what it holds.
 type Load struct {
-	// Opened connections of callers, those TurnedAway before they were taken, Asked
+	// OpenedConnections connections of callers, those RejectedConnections before they were taken, Received
 	// requests, those Refused as not run, and of these the ones Shed without asking a home.
-	Opened, TurnedAway, Asked, Refused, Shed int64
-	// TurningAway is the time that turning connections away took.
-	TurningAway time.Duration
-	// Connections and Requests are open now.
-	Connections, Requests int64
+	OpenedConnections, RejectedConnections, Received, Refused, Shed int64
+	// RejectionTime is the time that turning connections away took.
+	RejectionTime time.Duration
+	// OpenConnections and ActiveRequests are open now.
+	OpenConnections, ActiveRequests int64
 }
 
-// TeamLoads returns what became of the requests of teams of which any was refused since
+// TakeTeamLoads returns what became of the requests of teams of which any was refused since
 // the last call, the one that asked for most first.
-func (s *Server) TeamLoads(most int) []TeamLoad { return s.teams.take(most) }
+func (s *Server) TakeTeamLoads(most int) []TeamLoad { return s.teams.take(most) }
 
 // Load returns the server's load.
 func (s *Server) Load() Load {
 	return Load{
-		Opened: s.counts.opened.Load(), TurnedAway: s.counts.turnedAway.Load(), Asked: s.counts.asked.Load(), Refused: s.counts.refused.Load(), Shed: s.counts.shed.Load(),
-		TurningAway: time.Duration(s.counts.turningAway.Load()),
-		Connections: s.conns.Load(), Requests: s.requests.Load(),
+		OpenedConnections: s.counts.opened.Load(), RejectedConnections: s.counts.turnedAway.Load(), Received: s.counts.asked.Load(), Refused: s.counts.refused.Load(), Shed: s.counts.shed.Load(),
+		RejectionTime:   time.Duration(s.counts.turningAway.Load()),
+		OpenConnections: s.conns.Load(), ActiveRequests: s.requests.Load(),
 	}
 }
--- a/gateway/busy_test.go
+++ b/gateway/overload_test.go
@@ -30,7 +30,7 @@
 	r.placer.before = func() { asked++ }
 	call := func(key string) int {
 		resp, _, err := r.call("/safe/", func(req *http.Request) {
-			req.Header.Set(names.Key, key)
+			req.Header.Set(names.APIKey, key)
 			req.Header.Set(names.Tokens, "900,50")
 		})
 		g.Expect(err).NotTo(HaveOccurred())
@@ -95,7 +95,7 @@
 	g := NewWithT(t)
 	r := newRig(t, map[string]script{"u1": ok("answer")})
 	status := func(path, key string) int {
-		resp, _, err := r.call(path, func(req *http.Request) { req.Header.Set(names.Key, key) })
+		resp, _, err := r.call(path, func(req *http.Request) { req.Header.Set(names.APIKey, key) })
 		g.Expect(err).NotTo(HaveOccurred())
 		return resp.StatusCode
 	}
--- a/gateway/unserved.go
+++ b/gateway/placement_refusal.go
@@ -42,9 +42,9 @@
 		return overShareRefusal(d.RetryAfter)
 	}
 	if d.Behind {
-		s.teams.note(r.teamName(), func(l *TeamLoad) { l.Busy++ })
+		s.teams.note(r.teamName(), func(l *TeamLoad) { l.RouterBusy++ })
 		return busyRefusal()
 	}
-	s.teams.note(r.teamName(), func(l *TeamLoad) { l.NoRoom++ })
+	s.teams.note(r.teamName(), func(l *TeamLoad) { l.NoCapacity++ })
 	return notRun("no_room", "no upstream can answer in time; the request was not run", d.RetryAfter)
 }
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -55,7 +55,7 @@
 
 // accept reads a request and finds its route and team.
 func (s *Server) accept(in *http.Request, crowded bool) (*request, *refusal) {
-	r := &request{ctx: in.Context(), in: in, id: in.Header.Get(s.cfg.Names.RequestID), arrived: time.Now()}
+	r := &request{ctx: in.Context(), in: in, id: in.Header.Get(s.cfg.Headers.RequestID), arrived: time.Now()}
 	r.record.id = r.id
 	r.state = s.state.Snapshot()
 	if r.state == nil {
@@ -75,7 +75,7 @@
 		return r, refused
 	}
 	if crowded {
-		s.teams.note(r.teamName(), func(l *TeamLoad) { l.Full++ })
+		s.teams.note(r.teamName(), func(l *TeamLoad) { l.RouterFull++ })
 		return r, notRun("router_full", "this router holds as many requests as it can; the request was not run", retryLater)
 	}
 	r.record.left = s.timeLeft(r)
@@ -119,7 +119,7 @@
 	if !s.state.Authorized() {
 		return notRun("stale_view", "this router's view of the keys is too old to decide", time.Second)
 	}
-	keys := r.in.Header.Values(s.cfg.Names.Key)
+	keys := r.in.Header.Values(s.cfg.Headers.APIKey)
 	if len(keys) == 1 {
 		r.team = r.state.Table.Team(keys[0])
 	}
@@ -133,13 +133,13 @@
 // timeLeft is how long the caller can be kept waiting.
 func (s *Server) timeLeft(r *request) time.Duration {
 	left := s.cfg.DefaultDeadline
-	if ms, err := strconv.ParseFloat(r.in.Header.Get(s.cfg.Names.Deadline), 64); err == nil && ms >= 0 {
+	if ms, err := strconv.ParseFloat(r.in.Header.Get(s.cfg.Headers.Deadline), 64); err == nil && ms >= 0 {
 		left = time.Duration(min(ms, maxDeadlineMs) * float64(time.Millisecond))
 	}
 	if r.route.Timeout > 0 {
 		left = min(left, r.route.Timeout)
 	}
-	return left - s.cfg.EndMargin
+	return left - s.cfg.DeadlineMargin
 }
 
 // maxDeadlineMs keeps a caller's number within a duration: one day.
@@ -192,17 +192,17 @@
 // readPrompt reads what the caller says of its prompt. Numbers that can't be
 // read count as not given: they only guide the placing.
 func (s *Server) readPrompt(r *request) {
-	prompt, output, _ := strings.Cut(r.in.Header.Get(s.cfg.Names.Tokens), ",")
+	prompt, output, _ := strings.Cut(r.in.Header.Get(s.cfg.Headers.Tokens), ",")
 	r.prompt = clampTokens(prompt)
 	r.output = clampTokens(output)
-	if hint := clampTokens(r.in.Header.Get(s.cfg.Names.LengthHint)); hint > 0 {
+	if hint := clampTokens(r.in.Header.Get(s.cfg.Headers.LengthHint)); hint > 0 {
 		r.output = min(r.output, hint)
 	}
 	r.record.prompt, r.record.output = r.prompt, r.output
 	if !r.route.Sticky {
 		return
 	}
-	list := r.in.Header.Get(s.cfg.Names.Parts)
+	list := r.in.Header.Get(s.cfg.Headers.Parts)
 	for entry := range strings.SplitSeq(list, ",") {
 		id, tokens, found := strings.Cut(strings.TrimSpace(entry), ":")
 		if !found || len(r.parts) == maxParts {
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -30,7 +30,7 @@
 	r.sentTo, r.sentAt = incarnation(u), at
 	call := s.call(r, out, u)
 	if from := s.state.Snapshot().View.Upstream(d.CopyFrom); from != nil && s.mayCopyFrom(from) {
-		call.Header.Set(s.cfg.Names.CopyFrom, from.Address)
+		call.Header.Set(s.cfg.Headers.CopyFrom, from.Address)
 		r.record.copyFrom = from.ID
 	}
 	a, err := s.pool.Do(ctx, call)
@@ -146,11 +146,11 @@
 func (s *Server) call(r *request, out *relay, u *registry.Upstream) *upstream.Call {
 	h := r.in.Header.Clone()
 	headers.RemoveHopByHop(h)
-	n := s.cfg.Names
+	n := s.cfg.Headers
 	for _, name := range n.Private {
 		h.Del(name)
 	}
-	h.Del(n.Key)
+	h.Del(n.APIKey)
 	h.Del(n.Team)
 	h.Del("Content-Length")
 	h.Del("Expect")
--- a/gateway/allowed.go
+++ b/gateway/send_check.go
@@ -56,7 +56,7 @@
 // platform would stop all.
 func (s *Server) tooOld() bool {
 	lag := max(s.placer.Lag(), s.placer.ReadLag())
-	return lag > s.cfg.Shed.Lag && s.state.Age() > s.cfg.OldView
+	return lag > s.cfg.Shed.Lag && s.state.Age() > s.cfg.MaxViewAge
 }
 
 // stillAllowed checks the key against the newest configuration.
@@ -67,7 +67,7 @@
 	if !s.state.Authorized() {
 		return notRun("stale_view", "this router's view of the keys is too old to decide", time.Second)
 	}
-	if s.state.Snapshot().Table.Team(r.in.Header.Get(s.cfg.Names.Key)) == nil {
+	if s.state.Snapshot().Table.Team(r.in.Header.Get(s.cfg.Headers.APIKey)) == nil {
 		return bad(http.StatusUnauthorized, "unknown_key", "no team holds this key any more")
 	}
 	return nil
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -24,7 +24,7 @@
 // Server takes callers' requests.
 type Server struct {
 	cfg    Config
-	state  State
+	state  StateReader
 	placer Placer
 	pool   *upstream.Pool
 	log    *obs.Limited
@@ -58,7 +58,7 @@
 var errStopping = errors.New("the router is stopping")
 
 // New returns a server.
-func New(cfg Config, state State, placer Placer, pool *upstream.Pool, budget retry.Budget, log *obs.Limited, metrics *obs.Metrics) *Server {
+func New(cfg Config, state StateReader, placer Placer, pool *upstream.Pool, budget retry.Budget, log *obs.Limited, metrics *obs.Metrics) *Server {
 	base, giveUp := context.WithCancelCause(context.Background())
 	return &Server{
 		cfg: cfg, state: state, placer: placer, pool: pool, budget: budget,
@@ -145,7 +145,7 @@
 // closing reports whether the server takes no more requests.
 func (s *Server) closing() bool {
 	since := time.Duration(s.stopping.Load())
-	return since != 0 && time.Since(s.start)-since > s.cfg.Accept
+	return since != 0 && time.Since(s.start)-since > s.cfg.ForwardPeriod
 }
 
 // Shutdown ends the server without cutting an answer. The balancer takes a
@@ -153,7 +153,7 @@
 // the listener stays open for the linger and each answer closes its connection.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.stopping.Store(int64(time.Since(s.start)))
-	linger := time.NewTimer(s.cfg.Linger)
+	linger := time.NewTimer(s.cfg.ShutdownDelay)
 	defer linger.Stop()
 	select {
 	case <-ctx.Done():
@@ -197,7 +197,7 @@
 
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, in *http.Request) {
-	if s.Stopping() || s.conns.Load() > int64(s.cfg.KeepConns) {
+	if s.Stopping() || s.conns.Load() > int64(s.cfg.MaxKeepAliveConns) {
 		w.Header().Set("Connection", "close")
 	}
 	s.stats.begin()
--- a/gateway/shed.go
+++ b/gateway/shed.go
@@ -52,9 +52,9 @@
 	}
 	r.record.lag = lag
 	s.counts.shed.Add(1)
-	s.placer.Shed(r.service, ask)
+	s.placer.ReportShed(r.service, ask)
 	if verdict.Shed == limits.Busy {
-		s.teams.note(r.teamName(), func(l *TeamLoad) { l.Busy++ })
+		s.teams.note(r.teamName(), func(l *TeamLoad) { l.RouterBusy++ })
 		return busyRefusal()
 	}
 	s.teams.shed(r, verdict.Age)
--- a/gateway/teams.go
+++ b/gateway/teams.go
@@ -10,21 +10,23 @@
 // TeamLoad is what became of a team's requests at this router within a span.
 type TeamLoad struct {
 	Team string
-	// Asked are the team's requests that were read, Sent those that went to an
-	// upstream, Begun those whose answer began, with the tokens that they count in the
+	// Received are the team's requests that were read, Sent those that went to an
+	// upstream, Started those whose answer began, with the tokens that they count in the
 	// team's share.
-	Asked, Sent, Begun                   int
-	AskedTokens, SentTokens, BegunTokens float64
-	// OverShare and NoRoom were refused by homes. Shed were refused here as above the
-	// share without asking a home, Busy as this router was behind, Full as it held as
+	Received, Sent, Started                   int
+	ReceivedTokens, SentTokens, StartedTokens float64
+	// OverShare and NoCapacity were refused by homes. Shed were refused here as above the
+	// share without asking a home, RouterBusy as this router was behind, RouterFull as it held as
 	// many requests as it can.
-	OverShare, NoRoom, Shed, Busy, Full int
+	OverShare, NoCapacity, Shed, RouterBusy, RouterFull int
 	// ShedAge is the age of the oldest home's decision on which one was shed.
 	ShedAge time.Duration
 }
 
 // Refused is the number of requests that were refused for want of room or share.
-func (l *TeamLoad) Refused() int { return l.OverShare + l.NoRoom + l.Shed + l.Busy + l.Full }
+func (l *TeamLoad) Refused() int {
+	return l.OverShare + l.NoCapacity + l.Shed + l.RouterBusy + l.RouterFull
+}
 
 // teamLoads collects what became of teams' requests.
 type teamLoads struct {
@@ -68,7 +70,7 @@
 		}
 	}
 	slices.SortFunc(refused, func(a, b TeamLoad) int {
-		return cmp.Or(cmp.Compare(b.AskedTokens, a.AskedTokens), cmp.Compare(a.Team, b.Team))
+		return cmp.Or(cmp.Compare(b.ReceivedTokens, a.ReceivedTokens), cmp.Compare(a.Team, b.Team))
 	})
 	return refused[:min(most, len(refused))]
 }
@@ -76,8 +78,8 @@
 // asked notes that a team's request was read.
 func (t *teamLoads) asked(r *request) {
 	t.note(r.teamName(), func(l *TeamLoad) {
-		l.Asked++
-		l.AskedTokens += r.tokens()
+		l.Received++
+		l.ReceivedTokens += r.tokens()
 	})
 }
 
@@ -92,8 +94,8 @@
 // begun notes that an upstream began to answer a team's request.
 func (t *teamLoads) begun(r *request) {
 	t.note(r.teamName(), func(l *TeamLoad) {
-		l.Begun++
-		l.BegunTokens += r.tokens()
+		l.Started++
+		l.StartedTokens += r.tokens()
 	})
 }
 
--- a/gateway/teams_test.go
+++ b/gateway/teams_test.go
@@ -22,21 +22,21 @@
 		return resp.StatusCode
 	}
 	g.Expect(call()).To(Equal(200))
-	g.Expect(r.server.TeamLoads(5)).To(BeEmpty(), "nothing was refused")
+	g.Expect(r.server.TakeTeamLoads(5)).To(BeEmpty(), "nothing was refused")
 
 	r.placer.refuse = &dispatch.Decision{Verdict: dispatch.Refuse, Over: true, RetryAfter: 100 * time.Millisecond, Allowance: 10}
 	g.Expect(call()).To(Equal(429))
 	g.Expect(call()).To(Equal(429))
 	time.Sleep(10 * time.Millisecond)
 	g.Expect(call()).To(Equal(429))
-	loads := r.server.TeamLoads(5)
+	loads := r.server.TakeTeamLoads(5)
 	g.Expect(loads).To(HaveLen(1))
 	g.Expect(loads[0].ShedAge).To(BeNumerically(">=", 10*time.Millisecond))
 	loads[0].ShedAge = 0
-	g.Expect(loads[0]).To(Equal(gateway.TeamLoad{Team: "schools", Asked: 3, AskedTokens: 3000, OverShare: 2, Shed: 1}))
+	g.Expect(loads[0]).To(Equal(gateway.TeamLoad{Team: "schools", Received: 3, ReceivedTokens: 3000, OverShare: 2, Shed: 1}))
 
 	r.placer.group = 1
 	r.placer.refuse = &dispatch.Decision{Verdict: dispatch.Refuse, RetryAfter: 100 * time.Millisecond}
 	g.Expect(call()).To(Equal(503))
-	g.Expect(r.server.TeamLoads(5)).To(Equal([]gateway.TeamLoad{{Team: "schools", Asked: 1, AskedTokens: 1000, NoRoom: 1}}))
+	g.Expect(r.server.TakeTeamLoads(5)).To(Equal([]gateway.TeamLoad{{Team: "schools", Received: 1, ReceivedTokens: 1000, NoCapacity: 1}}))
 }
--- a/soak/caller.go
+++ b/soak/caller.go
@@ -152,7 +152,7 @@
 	}
 	n := platform.Names()
 	out.Header.Set(n.RequestID, req.ID)
-	out.Header.Set(n.Key, req.Key)
+	out.Header.Set(n.APIKey, req.Key)
 	out.Header.Set(n.Deadline, fmt.Sprint(req.Kind.timeout().Milliseconds()))
 	return out, nil
 }
