--- a/dispatch/account.go
+++ b/dispatch/account.go
@@ -11,7 +11,7 @@
 	asked, served, lately float64
 	at                    time.Duration
 	// elsewhere is what the team is taken to have got from other homes, after told.
-	elsewhere Got
+	elsewhere Usage
 	told      told
 	// askedAll and servedAll are sums since the account began.
 	askedAll, servedAll float64
@@ -61,7 +61,7 @@
 func (a *account) total() float64 { return a.served + a.elsewhere.Window }
 
 // totalLately is the same within the last moments.
-func (a *account) totalLately() float64 { return a.lately + a.elsewhere.Lately }
+func (a *account) totalLately() float64 { return a.lately + a.elsewhere.Recent }
 
 // partOf is the part of what is asked for the team that comes through a router.
 func (a *account) partOf(now, window time.Duration, router uint64) float64 {
--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -10,17 +10,17 @@
 // while there are none (additive increase, multiplicative decrease): what is
 // spare can't be known from queues alone, as large teams fill every gap at once.
 func (c *Core) overUse(now time.Duration) float64 {
-	back := (now - c.overAt).Seconds() * c.cfg.OverRecovery
-	return min(c.overLeft+back, c.cfg.OverUse)
+	back := (now - c.overAt).Seconds() * c.cfg.OverShareRecovery
+	return min(c.overLeft+back, c.cfg.OverShareTargetFraction)
 }
 
 // yieldShare makes teams above their share give way after a refusal of one
 // within it.
 func (c *Core) yieldShare(now time.Duration) {
-	if now-c.overAt < c.cfg.OverPause {
+	if now-c.overAt < c.cfg.OverShareDecreaseInterval {
 		return
 	}
-	c.overLeft = c.overUse(now) * (1 - c.cfg.OverDecrease)
+	c.overLeft = c.overUse(now) * (1 - c.cfg.OverShareDecrease)
 	c.overAt = now
 }
 
@@ -33,16 +33,16 @@
 		return false
 	}
 	if j.waited > 0 && ch.first-ch.wait > j.Target {
-		return ch.wait <= c.lateWait(j) && ch.first < j.Left
+		return ch.wait <= c.lateWait(j) && ch.first < j.Timeout
 	}
-	use := c.cfg.TargetUse
+	use := c.cfg.TargetFraction
 	if j.over() {
 		use = c.overUse(now)
 	}
 	limit := time.Duration(use * float64(j.Target))
 	cost := ch.first - ch.wait
 	if cost > limit/2 {
-		return ch.wait <= limit/2 && ch.first < j.Left
+		return ch.wait <= limit/2 && ch.first < j.Timeout
 	}
 	return ch.first <= limit
 }
@@ -53,9 +53,9 @@
 // which take what is spare.
 func (c *Core) lateWait(j *job) time.Duration {
 	if j.over() {
-		return c.cfg.Window / 3
+		return c.cfg.BacklogWindow / 3
 	}
-	return c.cfg.Window
+	return c.cfg.BacklogWindow
 }
 
 // minRetryAfter keeps callers from asking in a tight loop.
@@ -67,24 +67,24 @@
 	c.counts.Refused++
 	switch {
 	case j.over():
-		c.counts.RefusedOver++
+		c.counts.RefusedOverShare++
 	case j.waited == 0 || !j.late(now):
 		c.yieldShare(now)
 	}
 	if f, ok := FingerprintOf(&j.Request); ok {
-		c.returns.note(now, f, refusedOnce{at: j.askedAt - j.waited, deadline: j.askedAt + j.Left})
+		c.returns.note(now, f, refusedOnce{at: j.askedAt - j.waited, deadline: j.askedAt + j.Timeout})
 	}
 	delete(c.jobs, j.Ticket)
 	after := max(ch.first-max(j.Target, 0)/2, minRetryAfter)
 	c.out = append(c.out, Decision{
-		Ticket: j.Ticket, Verdict: Refuse, RetryAfter: after, Wait: ch.first, Waited: j.waited, Over: j.over(), Basis: c.basis(now, j, ch.u),
+		Ticket: j.Ticket, Verdict: Refuse, RetryAfter: after, PredictedFirstByte: ch.first, SinceFirstAttempt: j.waited, OverShare: j.over(), Details: c.basis(now, j, ch.u),
 		Allowance: c.teams.allowance(now, j.Ticket.Router, j.Team),
 	})
 }
 
 // basis notes what a refusal rests on.
-func (c *Core) basis(now time.Duration, j *job, u *upstream) Basis {
-	b := Basis{ID: j.ID, Team: j.Team, Served: c.teams.served(j.Team)}
+func (c *Core) basis(now time.Duration, j *job, u *upstream) RefusalDetails {
+	b := RefusalDetails{ID: j.ID, Team: j.Team, Served: c.teams.served(j.Team)}
 	if !math.IsInf(c.teams.level, 1) {
 		b.Share = c.teams.level
 	}
@@ -94,7 +94,7 @@
 		}
 	}
 	if u != nil {
-		b.Upstream, b.Unread = u.ID, u.remaining(now)
+		b.Upstream, b.Backlog = u.ID, u.remaining(now)
 		b.Waiting, b.Running = len(u.queue), u.running
 	}
 	return b
--- a/dispatch/allowance_test.go
+++ b/dispatch/allowance_test.go
@@ -24,7 +24,7 @@
 	a.seq++
 	r := request(a.seq, team, a.seq%20)
 	r.Ticket.Router = a.router
-	for _, d := range a.c.Ask(now, r) {
+	for _, d := range a.c.Submit(now, r) {
 		if d.Ticket == r.Ticket && d.Allowance != 0 {
 			a.allowed = d.Allowance
 		}
@@ -125,7 +125,7 @@
 		now += 10 * time.Millisecond
 		a.ask(now, "flood")
 		b.ask(now, "flood")
-		c.NoteShed(now, 2, "flood", 3*9000, nil)
+		c.RecordShed(now, 2, "flood", 3*9000, nil)
 		if i%20 == 0 {
 			a.end(now)
 			b.end(now)
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -15,7 +15,7 @@
 		for i := range b.N {
 			seq := uint64(i)
 			now += time.Second / 300
-			for _, d := range c.Ask(now, request(seq, "team", seq%100)) {
+			for _, d := range c.Submit(now, request(seq, "team", seq%100)) {
 				if d.Verdict == dispatch.Send {
 					c.Started(now+time.Millisecond, ticket(seq))
 					c.Done(now+time.Millisecond, ticket(seq), dispatch.Served, time.Second)
--- a/dispatch/choose.go
+++ b/dispatch/choose.go
@@ -47,7 +47,7 @@
 		ch := c.weigh(now, u, j, plans[i].cost, reread)
 		ch.plan = plans[i]
 		ch.admitted = c.admit(now, j, ch)
-		ch.away = reread > c.cfg.Spill
+		ch.away = reread > c.cfg.MaxRecompute
 		if !ok || better(ch, found) {
 			found, ok = ch, true
 		}
@@ -64,11 +64,11 @@
 	}
 	ch := choice{u: u, wait: wait, first: wait + cost}
 	ch.score = ch.first +
-		time.Duration(c.cfg.Reread*float64(reread)) +
-		time.Duration(u.use*float64(c.cfg.Spread)) +
+		time.Duration(c.cfg.RecomputeWeight*float64(reread)) +
+		time.Duration(u.use*float64(c.cfg.LoadPenalty)) +
 		time.Duration(u.failingMore(now, c.usualOf(now))*float64(c.cfg.FailurePenalty)) +
-		time.Duration(u.use*float64(j.Output)*float64(c.cfg.Crawl)) +
-		time.Duration(float64(u.running)/float64(max(u.Slots, 1))*float64(c.cfg.Spread))
+		time.Duration(u.use*float64(j.Output)*float64(c.cfg.DecodePenalty)) +
+		time.Duration(float64(u.running)/float64(max(u.Slots, 1))*float64(c.cfg.LoadPenalty))
 	return ch
 }
 
--- a/dispatch/ends.go
+++ b/dispatch/completion.go
@@ -75,8 +75,8 @@
 	return c.take()
 }
 
-// Waiting reports whether any request waits, so that Tick is of use.
-func (c *Core) Waiting() bool {
+// HasWaiting reports whether any request waits, so that Tick is of use.
+func (c *Core) HasWaiting() bool {
 	for _, u := range c.upstreams {
 		if len(u.queue) > 0 {
 			return true
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -37,9 +37,9 @@
 	return out
 }
 
-// Ask decides on a request. Asking again for one that is known changes nothing
+// Submit decides on a request. Asking again for one that is known changes nothing
 // and repeats the decision: the answer may have been lost.
-func (c *Core) Ask(now time.Duration, r Request) []Decision {
+func (c *Core) Submit(now time.Duration, r Request) []Decision {
 	if j := c.jobs[r.Ticket]; j != nil {
 		d := Decision{Ticket: r.Ticket, Verdict: Wait}
 		if j.state != waiting {
@@ -57,7 +57,7 @@
 	c.charge(now, j)
 	c.teams.use = c.meanUse(now) / c.teams.known(now, useWindow)
 	j.standing = c.teams.standing(now, r.Team)
-	c.counts.Asked++
+	c.counts.Submitted++
 	c.jobs[r.Ticket] = j
 	c.place(now, j)
 	return c.take()
@@ -80,7 +80,7 @@
 // newJob begins a job. The target of a caller that comes back counts from its first
 // attempt.
 func (c *Core) newJob(now time.Duration, r Request) *job {
-	j := &job{Request: r, askedAt: now, deadlineAt: now + r.Left, expires: now + r.Left + time.Second}
+	j := &job{Request: r, askedAt: now, deadlineAt: now + r.Timeout, expires: now + r.Timeout + time.Second}
 	j.waited = c.returns.waited(now, &r)
 	j.Target -= j.waited
 	j.targetAt = now + j.Target
@@ -91,8 +91,8 @@
 // teams' shares.
 const generatedWeight = 2
 
-// Tokens is what a request counts in its team's share.
-func Tokens(r *Request) float64 { return float64(r.Prompt) + generatedWeight*float64(r.Output) }
+// ChargedTokens is what a request counts in its team's share.
+func ChargedTokens(r *Request) float64 { return float64(r.Prompt) + generatedWeight*float64(r.Output) }
 
 // charge notes what a request asks for. A team is charged for its whole prompt,
 // cached or not: where its parts are cached is our doing, and a team whose
@@ -102,7 +102,7 @@
 	for _, u := range c.upstreams {
 		kept = max(kept, u.cache.kept(j.Parts))
 	}
-	j.tokens = Tokens(&j.Request)
+	j.tokens = ChargedTokens(&j.Request)
 	j.memory = max(j.Prompt-kept, 0) + j.Output
 	c.teams.ask(now, j.Ticket.Router, j.Team, j.tokens)
 }
@@ -126,7 +126,7 @@
 	j.upstream = best.u
 	j.cost, j.copyFrom = best.plan.cost, best.plan.from
 	best.u.queue = append(best.u.queue, j)
-	c.out = append(c.out, Decision{Ticket: j.Ticket, Verdict: Wait, Wait: best.first})
+	c.out = append(c.out, Decision{Ticket: j.Ticket, Verdict: Wait, PredictedFirstByte: best.first})
 }
 
 func (c *Core) send(now time.Duration, u *upstream, j *job, wait time.Duration) {
@@ -137,7 +137,7 @@
 	c.counts.Sent++
 	c.teams.serve(now, j.Team, j.tokens)
 	d := Decision{
-		Ticket: j.Ticket, Verdict: Send, Upstream: u.ID, Wait: wait, Waited: j.waited, Over: j.over(), Warming: warming,
+		Ticket: j.Ticket, Verdict: Send, Upstream: u.ID, PredictedFirstByte: wait, SinceFirstAttempt: j.waited, OverShare: j.over(), Warming: warming,
 		Allowance: c.teams.allowance(now, j.Ticket.Router, j.Team),
 	}
 	if j.copyFrom != nil {
--- a/dispatch/core_test.go
+++ b/dispatch/core_test.go
@@ -39,7 +39,7 @@
 	return dispatch.Request{
 		Ticket: dispatch.Ticket{Router: router, Seq: seq}, Team: team, Prompt: 9000, Output: 50,
 		Parts:  []dispatch.Part{{ID: session, Tokens: 6000}, {ID: 1 << 40 * (seq + 1), Tokens: 3000}},
-		Target: 800 * time.Millisecond, Left: 6 * time.Second,
+		Target: 800 * time.Millisecond, Timeout: 6 * time.Second,
 	}
 }
 
@@ -58,11 +58,11 @@
 	g := NewWithT(t)
 	c := newCore(6)
 	now := 2 * time.Second
-	first := c.Ask(now, request(1, "a", 5))[0]
+	first := c.Submit(now, request(1, "a", 5))[0]
 	g.Expect(first.Verdict).To(Equal(dispatch.Send))
 	c.Started(now+300*time.Millisecond, ticket(1))
 	c.Done(now+time.Second, ticket(1), dispatch.Served, time.Second)
-	second := c.Ask(now+2*time.Second, request(2, "a", 5))[0]
+	second := c.Submit(now+2*time.Second, request(2, "a", 5))[0]
 	g.Expect(second.Upstream).To(Equal(first.Upstream))
 	g.Expect(second.CopyFrom).To(BeEmpty())
 }
@@ -76,9 +76,9 @@
 	now := 2 * time.Second
 	refused := 0
 	for seq := range uint64(30) {
-		d := c.Ask(now, request(seq, "a", seq))[0]
+		d := c.Submit(now, request(seq, "a", seq))[0]
 		if d.Verdict != dispatch.Refuse {
-			g.Expect(d.Wait).To(BeNumerically("<=", 800*time.Millisecond))
+			g.Expect(d.PredictedFirstByte).To(BeNumerically("<=", 800*time.Millisecond))
 			continue
 		}
 		refused++
@@ -112,7 +112,7 @@
 		for seq := range uint64(rapid.IntRange(1, 60).Draw(rt, "requests")) {
 			now += time.Duration(rapid.IntRange(0, 60).Draw(rt, "gap")) * time.Millisecond
 			team := fmt.Sprint("t", rapid.IntRange(0, 3).Draw(rt, "team"))
-			note(c.Ask(now, request(seq, team, uint64(rapid.IntRange(0, 5).Draw(rt, "session")))))
+			note(c.Submit(now, request(seq, team, uint64(rapid.IntRange(0, 5).Draw(rt, "session")))))
 			note(c.Tick(now))
 			for s, at := range sent {
 				if now-at > 250*time.Millisecond {
@@ -201,8 +201,8 @@
 	g := NewWithT(t)
 	c := newCore(2)
 	now := 2 * time.Second
-	first := c.Ask(now, request(1, "a", 5))[0]
-	again := c.Ask(now, request(1, "a", 5))[0]
+	first := c.Submit(now, request(1, "a", 5))[0]
+	again := c.Submit(now, request(1, "a", 5))[0]
 	g.Expect(again.Verdict).To(Equal(dispatch.Send))
 	g.Expect(again.Upstream).To(Equal(first.Upstream))
 	c.Done(now+time.Second, ticket(1), dispatch.Served, time.Second)
@@ -215,11 +215,11 @@
 	g := NewWithT(t)
 	c := dispatch.New(dispatch.DefaultConfig(false))
 	c.SetMembers(time.Second, []dispatch.Member{{Incarnation: named("s"), Slots: 1}})
-	r := dispatch.Request{Ticket: ticket(1), Target: 150 * time.Millisecond, Left: time.Second}
-	g.Expect(c.Ask(2*time.Second, r)[0].Verdict).To(Equal(dispatch.Send))
+	r := dispatch.Request{Ticket: ticket(1), Target: 150 * time.Millisecond, Timeout: time.Second}
+	g.Expect(c.Submit(2*time.Second, r)[0].Verdict).To(Equal(dispatch.Send))
 	r.Ticket = ticket(2)
 	c.Tick(5 * time.Second)
-	g.Expect(c.Ask(5*time.Second, r)[0].Verdict).To(Equal(dispatch.Send))
+	g.Expect(c.Submit(5*time.Second, r)[0].Verdict).To(Equal(dispatch.Send))
 }
 
 // An upstream that can't be reached gets no work for a while, longer each time,
@@ -228,13 +228,13 @@
 	g := NewWithT(t)
 	c := newCore(2)
 	now := 2 * time.Second
-	bad := c.Ask(now, request(1, "a", 5))[0].Upstream
+	bad := c.Submit(now, request(1, "a", 5))[0].Upstream
 	c.Done(now, ticket(1), dispatch.Unreachable, 0)
-	g.Expect(c.Ask(now, request(2, "a", 5))[0].Upstream).NotTo(Equal(bad))
+	g.Expect(c.Submit(now, request(2, "a", 5))[0].Upstream).NotTo(Equal(bad))
 	seen := false
 	for seq := uint64(3); seq < 40; seq++ {
 		now += 200 * time.Millisecond
-		d := verdicts(c.Ask(now, request(seq, "a", seq+100)))[seq]
+		d := verdicts(c.Submit(now, request(seq, "a", seq+100)))[seq]
 		seen = seen || d.Upstream == bad
 		c.Done(now+100*time.Millisecond, ticket(seq), dispatch.Served, 100*time.Millisecond)
 	}
@@ -247,8 +247,8 @@
 	g := NewWithT(t)
 	c := newCore(1)
 	now := 2 * time.Second
-	g.Expect(c.Ask(now, request(1, "a", 5))[0].Verdict).To(Equal(dispatch.Send))
-	g.Expect(c.Ask(now, request(2, "a", 5))[0].Verdict).To(Equal(dispatch.Wait))
+	g.Expect(c.Submit(now, request(1, "a", 5))[0].Verdict).To(Equal(dispatch.Send))
+	g.Expect(c.Submit(now, request(2, "a", 5))[0].Verdict).To(Equal(dispatch.Wait))
 	ds := verdicts(c.Started(now+250*time.Millisecond, ticket(1)))
 	g.Expect(ds[2].Verdict).To(Equal(dispatch.Send))
 }
@@ -260,10 +260,10 @@
 	c := newCore(1)
 	now := 2 * time.Second
 	slow := request(1, "a", 5)
-	g.Expect(c.Ask(now, slow)[0].Verdict).To(Equal(dispatch.Send))
+	g.Expect(c.Submit(now, slow)[0].Verdict).To(Equal(dispatch.Send))
 	next := request(2, "a", 5)
 	next.Target = 5 * time.Second
-	g.Expect(c.Ask(now, next)[0].Verdict).To(Equal(dispatch.Wait))
+	g.Expect(c.Submit(now, next)[0].Verdict).To(Equal(dispatch.Wait))
 	sent := false
 	for range 200 {
 		now += 10 * time.Millisecond
@@ -276,19 +276,19 @@
 func TestSeededHomeKeepsSessionsTogether(t *testing.T) {
 	g := NewWithT(t)
 	c := newCore(6)
-	c.Seed(named("e4"), []dispatch.Part{{ID: 5, Tokens: 6000}})
-	g.Expect(c.Ask(2*time.Second, request(1, "a", 5))[0].Upstream).To(Equal("e4"))
+	c.SeedCache(named("e4"), []dispatch.Part{{ID: 5, Tokens: 6000}})
+	g.Expect(c.Submit(2*time.Second, request(1, "a", 5))[0].Upstream).To(Equal("e4"))
 }
 
 // A busy engine's session is served by another, which copies the parts.
 func TestBusySessionIsCopiedToAnIdleEngine(t *testing.T) {
 	g := NewWithT(t)
 	c := newCore(2)
-	c.Seed(named("e0"), []dispatch.Part{{ID: 5, Tokens: 6000}})
+	c.SeedCache(named("e0"), []dispatch.Part{{ID: 5, Tokens: 6000}})
 	now := 2 * time.Second
 	var other dispatch.Decision
 	for seq := range uint64(12) {
-		d := c.Ask(now, request(seq, "a", 5))[0]
+		d := c.Submit(now, request(seq, "a", 5))[0]
 		if d.Verdict == dispatch.Send && d.Upstream == "e1" {
 			other = d
 			break
@@ -299,24 +299,24 @@
 
 // Guards against teams that are charged for requests that no upstream ran.
 func TestRequestThatDidNotRunIsNotCharged(t *testing.T) {
-	for _, o := range []dispatch.Outcome{dispatch.Withdrawn, dispatch.Rejected} {
+	for _, o := range []dispatch.Outcome{dispatch.NotSent, dispatch.Rejected} {
 		g := NewWithT(t)
 		c := newCore(2)
 		now := 2 * time.Second
-		g.Expect(c.Ask(now, request(1, "a", 5))[0].Verdict).To(Equal(dispatch.Send))
-		charged := c.Served(now, "a")
+		g.Expect(c.Submit(now, request(1, "a", 5))[0].Verdict).To(Equal(dispatch.Send))
+		charged := c.LocalUsage(now, "a")
 		g.Expect(charged.Window).To(BeNumerically(">=", 9000))
-		g.Expect(charged.Lately).To(BeNumerically(">=", 9000))
+		g.Expect(charged.Recent).To(BeNumerically(">=", 9000))
 		now += 300 * time.Millisecond
 		c.Done(now, ticket(1), o, 0)
-		left := c.Served(now, "a")
+		left := c.LocalUsage(now, "a")
 		g.Expect(left.Window).To(BeNumerically("<", 1))
-		g.Expect(left.Lately).To(BeNumerically("<", 1))
+		g.Expect(left.Recent).To(BeNumerically("<", 1))
 
 		// One that has begun ran, whatever ends it.
-		g.Expect(c.Ask(now, request(2, "b", 6))[0].Verdict).To(Equal(dispatch.Send))
+		g.Expect(c.Submit(now, request(2, "b", 6))[0].Verdict).To(Equal(dispatch.Send))
 		c.Started(now, ticket(2))
 		c.Done(now, ticket(2), o, time.Second)
-		g.Expect(c.Served(now, "b").Window).To(BeNumerically(">=", 9000))
+		g.Expect(c.LocalUsage(now, "b").Window).To(BeNumerically(">=", 9000))
 	}
 }
--- a/dispatch/groups_test.go
+++ b/dispatch/groups_test.go
@@ -20,7 +20,7 @@
 
 // gotSums decay as shares do.
 type gotSums struct {
-	dispatch.Got
+	dispatch.Usage
 	at time.Duration
 }
 
@@ -38,7 +38,7 @@
 		c.SetCapacity(120000)
 		home := newRun(c)
 		home.onSend = func(team string) { s.note(team, i) }
-		home.elsewhere = func(team string) dispatch.Got { return s.of(team, 1-i).Got }
+		home.elsewhere = func(team string) dispatch.Usage { return s.of(team, 1-i).Usage }
 		s.homes[i] = home
 	}
 	s.start = s.homes[0].now
@@ -53,7 +53,7 @@
 	g, now := &s.got[team][home], s.homes[0].now
 	passed := now - g.at
 	g.Window *= math.Exp(-passed.Seconds() / dispatch.DefaultConfig(true).ShareWindow.Seconds())
-	g.Lately *= math.Exp(-passed.Seconds())
+	g.Recent *= math.Exp(-passed.Seconds())
 	g.at = now
 	return g
 }
@@ -61,7 +61,7 @@
 func (s *groups) note(team string, home int) {
 	g := s.of(team, home)
 	g.Window += requestTokens
-	g.Lately += requestTokens
+	g.Recent += requestTokens
 	second := int((s.homes[0].now - s.start) / time.Second)
 	for len(s.sent) <= second {
 		s.sent = append(s.sent, map[string]int{})
--- a/dispatch/job.go
+++ b/dispatch/job.go
@@ -47,8 +47,8 @@
 // stand; those above their share by who had least of late; then by who must start
 // soonest (earliest deadline first).
 func (c *Core) before(a, b *job, now time.Duration) bool {
-	if a.Rank != b.Rank {
-		return a.Rank < b.Rank
+	if a.Priority != b.Priority {
+		return a.Priority < b.Priority
 	}
 	if a.standing != b.standing {
 		return a.standing < b.standing
--- a/dispatch/ledger.go
+++ b/dispatch/ledger.go
@@ -33,8 +33,8 @@
 // silence after which a ledger begins anew.
 const ledgerSettles = 900 * time.Millisecond
 
-// Tell replaces what a home told before that a team got from it.
-func (l *Ledger) Tell(now time.Duration, home uint64, team string, got Got) {
+// Record replaces what a home told before that a team got from it.
+func (l *Ledger) Record(now time.Duration, home uint64, team string, got Usage) {
 	if now-l.heardAt > ledgerSettles || l.heardAt == 0 {
 		l.since = now
 	}
@@ -50,12 +50,12 @@
 	homes[home] = told{got: got, at: now}
 }
 
-// Others is what a team got from all homes but one. ok is unset while the ledger is so new
+// RemoteUsage is what a team got from all homes but one. ok is unset while the ledger is so new
 // that some homes may not have told yet: their teams would look as if they had got nothing
 // there, and homes had better go on with what they were told before.
-func (l *Ledger) Others(now time.Duration, home uint64, team string) (got Got, ok bool) {
+func (l *Ledger) RemoteUsage(now time.Duration, home uint64, team string) (got Usage, ok bool) {
 	if now-l.since < ledgerSettles {
-		return Got{}, false
+		return Usage{}, false
 	}
 	var windows, lately []float64
 	for id, t := range l.teams[team] {
@@ -64,9 +64,9 @@
 		}
 		got := t.value(now, l.window)
 		windows = append(windows, got.Window)
-		lately = append(lately, got.Lately)
+		lately = append(lately, got.Recent)
 	}
-	return Got{Window: sum(windows), Lately: sum(lately)}, true
+	return Usage{Window: sum(windows), Recent: sum(lately)}, true
 }
 
 // Sweep forgets what has decayed.
--- a/dispatch/members.go
+++ b/dispatch/members.go
@@ -50,7 +50,7 @@
 // warm believes the asker about where parts are cached if this core knows
 // nothing of them.
 func (c *Core) warm(r *Request) {
-	u := c.byID[r.Warm]
+	u := c.byID[r.CacheHint]
 	if u == nil || len(r.Parts) == 0 {
 		return
 	}
@@ -71,10 +71,10 @@
 	}
 }
 
-// Seed takes in what an upstream says that it keeps. A new home knows nothing of
+// SeedCache takes in what an upstream says that it keeps. A new home knows nothing of
 // the caches; it would take every prompt for unread, refuse what could be served
 // and scatter the sessions.
-func (c *Core) Seed(from Incarnation, parts []Part) {
+func (c *Core) SeedCache(from Incarnation, parts []Part) {
 	u := c.byID[from.ID]
 	if u == nil || !u.Same(from) {
 		return
@@ -84,13 +84,13 @@
 	}
 }
 
-// Held takes in a request that a router sent before this core was its home.
-func (c *Core) Held(now time.Duration, r Request, at Incarnation, begun bool) {
+// AddInFlight takes in a request that a router sent before this core was its home.
+func (c *Core) AddInFlight(now time.Duration, r Request, at Incarnation, begun bool) {
 	u := c.byID[at.ID]
 	if u == nil || !u.Same(at) || c.jobs[r.Ticket] != nil {
 		return
 	}
-	j := &job{Request: r, targetAt: now + r.Target, deadlineAt: now + r.Left, expires: now + r.Left + time.Second}
+	j := &job{Request: r, targetAt: now + r.Target, deadlineAt: now + r.Timeout, expires: now + r.Timeout + time.Second}
 	j.memory = r.Output + max(r.Prompt-u.cache.kept(r.Parts), 0)
 	c.jobs[r.Ticket] = j
 	j.cost = u.cost(&j.Request, u.cache.kept(r.Parts), 0)
@@ -102,8 +102,8 @@
 	}
 }
 
-// Drop forgets the requests of a router that is gone.
-func (c *Core) Drop(now time.Duration, router uint64) []Decision {
+// DropRouter forgets the requests of a router that is gone.
+func (c *Core) DropRouter(now time.Duration, router uint64) []Decision {
 	c.endAll(now, func(j *job) bool { return j.Ticket.Router == router })
 	return c.take()
 }
--- a/dispatch/plain_test.go
+++ b/dispatch/plain_service_test.go
@@ -89,7 +89,7 @@
 				o = dispatch.Failed
 			}
 			if p.rnd.Float64() < p.endless || d.Upstream == p.hung {
-				o, took = dispatch.Silent, timeLimit
+				o, took = dispatch.TimedOut, timeLimit
 			}
 			heap.Push(&p.ends, plainEnd{at: p.now + took, seq: d.Ticket.Seq, took: took, o: o})
 		}
@@ -118,7 +118,7 @@
 			p.now = ask
 			p.seq++
 			p.askedAt[p.seq] = p.now
-			p.take(p.c.Ask(p.now, dispatch.Request{Ticket: ticket(p.seq), Team: "a", Target: 150 * time.Millisecond, Left: timeLimit}))
+			p.take(p.c.Submit(p.now, dispatch.Request{Ticket: ticket(p.seq), Team: "a", Target: 150 * time.Millisecond, Timeout: timeLimit}))
 			next += time.Duration(p.rnd.ExpFloat64() / perSecond * float64(time.Second))
 		}
 		p.now = tick
--- a/dispatch/plan.go
+++ b/dispatch/prefill_plan.go
@@ -71,7 +71,7 @@
 		return p
 	}
 	more := all[donor] - kept
-	if more < c.cfg.MinCopy {
+	if more < c.cfg.MinCopyTokens {
 		return p
 	}
 	if cost := u.cost(r, kept, more); cost < p.cost {
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -7,14 +7,14 @@
 
 // ready reports whether the upstream takes a job now.
 func (c *Core) ready(u *upstream, j *job, now time.Duration) bool {
-	if u.full(j.memory) || u.cache.beingRead(now, j.Parts, c.cfg.MinAwait) {
+	if u.full(j.memory) || u.cache.beingRead(now, j.Parts, c.cfg.MinAwaitTokens) {
 		return false
 	}
 	if !c.cfg.Engine {
 		return true
 	}
 	u.touch(now)
-	return u.busyFor(now) < c.cfg.Window
+	return u.busyFor(now) < c.cfg.BacklogWindow
 }
 
 // readyAheadOf reports whether a waiting job that could go now goes before j.
--- a/dispatch/told.go
+++ b/dispatch/remote_usage.go
@@ -12,7 +12,7 @@
 // to stay as told for a while, as if the team were served at the same rate, and decays
 // only when its teller falls silent.
 type told struct {
-	got Got
+	got Usage
 	at  time.Duration
 }
 
@@ -21,13 +21,13 @@
 const toldHolds = time.Second
 
 // value is what the team is taken to have got by now.
-func (t *told) value(now, window time.Duration) Got {
+func (t *told) value(now, window time.Duration) Usage {
 	passed := float64(now - t.at - toldHolds)
 	if passed <= 0 {
 		return t.got
 	}
-	return Got{
+	return Usage{
 		Window: t.got.Window * math.Exp(-passed/float64(window)),
-		Lately: t.got.Lately * math.Exp(-passed/float64(rateWindow)),
+		Recent: t.got.Recent * math.Exp(-passed/float64(rateWindow)),
 	}
 }
--- a/dispatch/returns.go
+++ b/dispatch/repeated_requests.go
@@ -71,7 +71,7 @@
 	if !found {
 		e, found = m.old[f]
 	}
-	if !found || (now+r.Left-e.deadline).Abs() > sameDeadline {
+	if !found || (now+r.Timeout-e.deadline).Abs() > sameDeadline {
 		return 0
 	}
 	return max(now-e.at, 0)
@@ -86,20 +86,20 @@
 	m.young[f] = e
 }
 
-// Shed is a request that a router has refused by itself.
-type Shed struct {
+// ShedRequest is a request that a router has refused by itself.
+type ShedRequest struct {
 	Fingerprint Fingerprint
-	// Ago is how long ago it came, Left how long its caller then waited.
-	Ago, Left time.Duration
+	// Age is how long ago it came, Timeout how long its caller then waited.
+	Age, Timeout time.Duration
 }
 
-// NoteShed takes in requests of a team that a router has refused by itself, with the
+// RecordShed takes in requests of a team that a router has refused by itself, with the
 // tokens that they asked for.
-func (c *Core) NoteShed(now time.Duration, router uint64, team string, tokens float64, requests []Shed) {
+func (c *Core) RecordShed(now time.Duration, router uint64, team string, tokens float64, requests []ShedRequest) {
 	c.teams.ask(now, router, team, tokens)
 	c.teams.refused(now, team)
 	for _, r := range requests {
-		at := now - r.Ago
-		c.returns.note(now, r.Fingerprint, refusedOnce{at: at, deadline: at + r.Left})
+		at := now - r.Age
+		c.returns.note(now, r.Fingerprint, refusedOnce{at: at, deadline: at + r.Timeout})
 	}
 }
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -15,29 +15,29 @@
 	// ID is the caller's name for the request, for the log.
 	ID   string
 	Team string
-	// Rank is the priority; 0 goes first.
-	Rank int
+	// Priority is the priority; 0 goes first.
+	Priority int
 	// Prompt and Output are tokens; Output is the most that may be generated.
 	// Both are 0 for plain services.
 	Prompt, Output int
 	// Parts of the prompt in order, as far as they may be cached.
 	Parts []Part
-	// Target is the time left to the first byte; Left the time to the deadline.
-	Target, Left time.Duration
-	// Warm is the upstream that the asking router last used for these parts. A
+	// Target is the time left to the first byte; Timeout the time to the deadline.
+	Target, Timeout time.Duration
+	// CacheHint is the upstream that the asking router last used for these parts. A
 	// new home has no memory; this keeps sessions where their parts are cached.
-	Warm string
+	CacheHint string
 	// Avoid are upstreams that this request has been to.
 	Avoid []string
 	// Regions are those whose upstreams may serve it; empty means all.
 	Regions []string
 }
 
-// Got is what a team got, in tokens.
-type Got struct {
-	// Window is a sum that decays over the span of teams' shares, Lately one that decays
+// Usage is what a team got, in tokens.
+type Usage struct {
+	// Window is a sum that decays over the span of teams' shares, Recent one that decays
 	// over a second.
-	Window, Lately float64
+	Window, Recent float64
 }
 
 // Part is a piece of a prompt.
@@ -69,12 +69,12 @@
 	CopyFrom string
 	// RetryAfter is when a request like this one would be served.
 	RetryAfter time.Duration
-	// Wait is the time to the first byte that was predicted.
-	Wait time.Duration
-	// Waited is how long before this attempt the caller made its first.
-	Waited time.Duration
-	// Over is set if the team had more than its share.
-	Over bool
+	// PredictedFirstByte is the time to the first byte that was predicted.
+	PredictedFirstByte time.Duration
+	// SinceFirstAttempt is how long before this attempt the caller made its first.
+	SinceFirstAttempt time.Duration
+	// OverShare is set if the team had more than its share.
+	OverShare bool
 	// Warming is set if the upstream is warming up. The request must then be sent within
 	// warmup.GrantTTL of the question, or not at all.
 	Warming bool
@@ -83,23 +83,23 @@
 	Allowance float64
 	// Group is the part of the service's upstreams whose home decided.
 	Group int
-	// Behind is set if no home was heard because the asking router is behind with
+	// RouterOverloaded is set if no home was heard because the asking router is behind with
 	// its work; another router can take the request at once.
-	Behind bool
-	// Basis is what a refusal rests on, for the log.
-	Basis Basis
+	RouterOverloaded bool
+	// RefusalDetails is what a refusal rests on, for the log.
+	Details RefusalDetails
 }
 
 // Basis is what was known when a request was refused.
-type Basis struct {
+type RefusalDetails struct {
 	ID, Team string
 	// Served and Share are the team's tokens within the window and what it was
 	// owed of them; Share is 0 while shares don't matter.
 	Served, Share float64
-	// Upstream was the best choice; Unread is its work ahead, Waiting and Running
+	// Upstream was the best choice; Backlog is its work ahead, Waiting and Running
 	// the requests that waited for it and ran there.
 	Upstream         string
-	Unread           time.Duration
+	Backlog          time.Duration
 	Waiting, Running int
 	// Warming is how many upstreams of the group were warming up.
 	Warming int
@@ -121,12 +121,12 @@
 	// Cancelled: the caller left or the request was given up; it says nothing of
 	// the upstream.
 	Cancelled
-	// Silent: nothing came until the request's deadline.
-	Silent
-	// Withdrawn: the request wasn't sent; its caller left first, or its router turned to
+	// TimedOut: nothing came until the request's deadline.
+	TimedOut
+	// NotSent: the request wasn't sent; its caller left first, or its router turned to
 	// another home or upstream.
-	Withdrawn
+	NotSent
 )
 
 // unrun reports whether an upstream certainly didn't run the request.
-func (o Outcome) unrun() bool { return o == Rejected || o == Withdrawn }
+func (o Outcome) unrun() bool { return o == Rejected || o == NotSent }
--- a/dispatch/restart_test.go
+++ b/dispatch/restart_test.go
@@ -25,10 +25,10 @@
 	members[0].Started, members[1].Started = 1000, 1000
 	c := dispatch.New(dispatch.DefaultConfig(true))
 	c.SetMembers(time.Second, members)
-	c.Seed(members[0].Incarnation, []dispatch.Part{{ID: 5, Tokens: 6000}})
+	c.SeedCache(members[0].Incarnation, []dispatch.Part{{ID: 5, Tokens: 6000}})
 	now := 2 * time.Second
-	g.Expect(c.Ask(now, request(1, "a", 5))[0].Upstream).To(Equal("e0"))
-	c.Ask(now, request(2, "a", 6))
+	g.Expect(c.Submit(now, request(1, "a", 5))[0].Upstream).To(Equal("e0"))
+	c.Submit(now, request(2, "a", 6))
 	c.Done(now, ticket(2), dispatch.Unreachable, 0)
 	g.Expect(c.State(now).Banned).To(Equal(1))
 
@@ -36,9 +36,9 @@
 	c.SetMembers(now, []dispatch.Member{restarted(members[0], 900), restarted(members[1], 2000)})
 
 	g.Expect(c.State(now).Running).To(BeZero())
-	g.Expect(c.State(now).Unread).To(BeZero())
+	g.Expect(c.State(now).Backlog).To(BeZero())
 	g.Expect(c.State(now).Banned).To(BeZero())
-	d := c.Ask(now, request(3, "a", 5))[0]
+	d := c.Submit(now, request(3, "a", 5))[0]
 	g.Expect(d.Verdict).To(Equal(dispatch.Send))
 	g.Expect(d.CopyFrom).To(BeEmpty(), "no engine keeps the session any more")
 }
@@ -53,23 +53,23 @@
 	c := dispatch.New(dispatch.DefaultConfig(true))
 	c.SetMembers(time.Second, members)
 	now := 2 * time.Second
-	c.Ask(now, request(1, "a", 5))
+	c.Submit(now, request(1, "a", 5))
 	c.SetMembers(now, []dispatch.Member{restarted(members[0], 2000)})
-	c.Ask(now, request(2, "a", 6))
+	c.Submit(now, request(2, "a", 6))
 	g.Expect(c.State(now).Running).To(Equal(1))
 
 	c.Started(now, ticket(1))
 	c.Done(now, ticket(1), dispatch.Unreachable, 0)
-	c.Held(now, request(3, "a", 7), dispatch.Incarnation{ID: "e0", Started: 1000}, true)
-	c.Seed(dispatch.Incarnation{ID: "e0", Started: 1000}, []dispatch.Part{{ID: 8, Tokens: 6000}})
+	c.AddInFlight(now, request(3, "a", 7), dispatch.Incarnation{ID: "e0", Started: 1000}, true)
+	c.SeedCache(dispatch.Incarnation{ID: "e0", Started: 1000}, []dispatch.Part{{ID: 8, Tokens: 6000}})
 
 	g.Expect(c.State(now).Running).To(Equal(1))
 	g.Expect(c.State(now).Banned).To(BeZero())
-	before := c.State(now).Unread
+	before := c.State(now).Backlog
 	c.Done(now, ticket(2), dispatch.Served, 0)
 	g.Expect(before).To(BeNumerically(">", 0))
-	cold := c.Ask(now, request(4, "a", 8))[0]
-	g.Expect(cold.Wait).To(BeNumerically(">", 150*time.Millisecond), "6,000 tokens of the session are read again")
+	cold := c.Submit(now, request(4, "a", 8))[0]
+	g.Expect(cold.PredictedFirstByte).To(BeNumerically(">", 150*time.Millisecond), "6,000 tokens of the session are read again")
 }
 
 // A plain service's upstream is gone while requests wait for the others. The end of its
@@ -82,8 +82,8 @@
 	now := 2 * time.Second
 	var sent []dispatch.Decision
 	for seq := range uint64(4) {
-		r := dispatch.Request{Ticket: ticket(seq), Target: time.Second, Left: time.Second}
-		sent = append(sent, c.Ask(now, r)...)
+		r := dispatch.Request{Ticket: ticket(seq), Target: time.Second, Timeout: time.Second}
+		sent = append(sent, c.Submit(now, r)...)
 	}
 	g.Expect(c.State(now).Waiting).To(Equal(2))
 	c.SetMembers(now, []dispatch.Member{two})
@@ -103,7 +103,7 @@
 	g := NewWithT(t)
 	c := newCore(1)
 	now := 2 * time.Second
-	c.Ask(now, request(1, "a", 5))
+	c.Submit(now, request(1, "a", 5))
 	c.SetMembers(now, []dispatch.Member{restarted(engines(1)[0], 1000)})
 	g.Expect(c.State(now).Running).To(Equal(1))
 }
--- a/dispatch/shares.go
+++ b/dispatch/shares.go
@@ -19,7 +19,7 @@
 	level, even float64
 	levelAt     time.Duration
 	// most is what a team may have at most, and lately, while another waits for more.
-	most Got
+	most Usage
 	// got is what all teams together were served within the window.
 	got float64
 	// use is the part of the time in which the upstreams had unread work.
@@ -35,7 +35,7 @@
 const levelEvery = 100 * time.Millisecond
 
 func newShares(window time.Duration) *shares {
-	return &shares{window: window, teams: map[string]*account{}, level: math.Inf(1), even: math.Inf(1), most: Got{math.Inf(1), math.Inf(1)}}
+	return &shares{window: window, teams: map[string]*account{}, level: math.Inf(1), even: math.Inf(1), most: Usage{math.Inf(1), math.Inf(1)}}
 }
 
 func (s *shares) account(now time.Duration, team string) *account {
@@ -106,19 +106,19 @@
 // floods). So would what is spare to whoever asks most often: a team had 1.5 million
 // tokens a second beside one with 0.65 that had asked for as much. Up to the max-min level
 // nobody is held back.
-func (s *shares) mostOf(now time.Duration) Got {
-	least := Got{Window: math.Inf(1), Lately: math.Inf(1)}
+func (s *shares) mostOf(now time.Duration) Usage {
+	least := Usage{Window: math.Inf(1), Recent: math.Inf(1)}
 	for _, a := range s.teams {
 		a.decay(now, s.window)
 		if !s.waits(now, a) {
 			continue
 		}
 		least.Window = min(least.Window, a.total())
-		least.Lately = min(least.Lately, a.totalLately())
+		least.Recent = min(least.Recent, a.totalLately())
 	}
-	return Got{
+	return Usage{
 		Window: max(mostTimes*least.Window, s.level),
-		Lately: max(mostTimes*least.Lately, mostRate*s.rate(s.level)),
+		Recent: max(mostTimes*least.Recent, mostRate*s.rate(s.level)),
 	}
 }
 
@@ -137,7 +137,7 @@
 func (s *shares) tooMuch(now time.Duration, team string) bool {
 	s.refresh(now)
 	a := s.account(now, team)
-	return a.total() > s.most.Window || a.totalLately() > s.most.Lately
+	return a.total() > s.most.Window || a.totalLately() > s.most.Recent
 }
 
 // idleAccount is the size below which an account is forgotten, in tokens.
--- a/dispatch/run_test.go
+++ b/dispatch/simulation_test.go
@@ -19,7 +19,7 @@
 	// onSend, if set, is told of each request that is sent.
 	onSend func(team string)
 	// elsewhere, if set, is what a team got from other groups.
-	elsewhere func(team string) dispatch.Got
+	elsewhere func(team string) dispatch.Usage
 }
 
 // fifo is an engine's unread work.
@@ -39,9 +39,9 @@
 	r.asked[team]++
 	r.team[r.seq] = team
 	if r.elsewhere != nil {
-		r.c.Elsewhere(r.now, team, r.elsewhere(team))
+		r.c.SetRemoteUsage(r.now, team, r.elsewhere(team))
 	}
-	r.take(r.c.Ask(r.now, request(r.seq, team, session)))
+	r.take(r.c.Submit(r.now, request(r.seq, team, session)))
 }
 
 func (r *run) take(ds []dispatch.Decision) {
--- a/dispatch/state.go
+++ b/dispatch/state.go
@@ -12,41 +12,41 @@
 	Banned int `json:"banned"`
 	// Warming upstreams get requests at a bounded rate.
 	Warming int `json:"warming"`
-	// Use is the part of the time in which upstreams had unread work, Unread the
+	// Utilization is the part of the time in which upstreams had unread work, Backlog the
 	// work ahead; both are means over the upstreams.
-	Use    float64       `json:"use"`
-	Unread time.Duration `json:"unread"`
+	Utilization float64       `json:"use"`
+	Backlog     time.Duration `json:"unread"`
 	// Waiting and Running are requests of all upstreams.
 	Waiting int `json:"waiting"`
 	Running int `json:"running"`
-	// Served is what teams got within the window, Room what they can get, Level
+	// Served is what teams got within the window, Capacity what they can get, FairShare
 	// the share up to which each is served in full (0: no bound), in tokens.
-	Served float64 `json:"served"`
-	Room   float64 `json:"room"`
-	Level  float64 `json:"level"`
-	// OverUse is the part of the target that teams above their share may wait.
-	OverUse float64 `json:"overUse"`
+	Served    float64 `json:"served"`
+	Capacity  float64 `json:"room"`
+	FairShare float64 `json:"level"`
+	// OverShareTargetFraction is the part of the target that teams above their share may wait.
+	OverShareTargetFraction float64 `json:"overUse"`
 	// Counts since the core was made.
 	Counts Counts `json:"counts"`
 }
 
 // Counts are decisions.
 type Counts struct {
-	Asked   int `json:"asked"`
-	Sent    int `json:"sent"`
-	Refused int `json:"refused"`
-	// RefusedOver is the part of Refused that concerned teams above their share.
-	RefusedOver int `json:"refusedOver"`
+	Submitted int `json:"asked"`
+	Sent      int `json:"sent"`
+	Refused   int `json:"refused"`
+	// RefusedOverShare is the part of Refused that concerned teams above their share.
+	RefusedOverShare int `json:"refusedOver"`
 }
 
 // State returns the core's state.
 func (c *Core) State(now time.Duration) State {
-	s := State{Upstreams: len(c.upstreams), Served: c.teams.got, OverUse: c.overUse(now), Counts: c.counts}
-	s.Level, s.Room = finite(c.teams.level), finite(c.teams.room(now))
+	s := State{Upstreams: len(c.upstreams), Served: c.teams.got, OverShareTargetFraction: c.overUse(now), Counts: c.counts}
+	s.FairShare, s.Capacity = finite(c.teams.level), finite(c.teams.room(now))
 	for _, u := range c.upstreams {
 		u.touch(now)
-		s.Use += u.use
-		s.Unread += u.remaining(now)
+		s.Utilization += u.use
+		s.Backlog += u.remaining(now)
 		s.Waiting += len(u.queue)
 		s.Running += u.running
 		if now < u.banned {
@@ -57,8 +57,8 @@
 		}
 	}
 	if n := len(c.upstreams); n > 0 {
-		s.Use /= float64(n)
-		s.Unread /= time.Duration(n)
+		s.Utilization /= float64(n)
+		s.Backlog /= time.Duration(n)
 	}
 	return s
 }
@@ -74,7 +74,7 @@
 // Since is what was decided after an earlier state.
 func (c Counts) Since(earlier Counts) Counts {
 	return Counts{
-		Asked: c.Asked - earlier.Asked, Sent: c.Sent - earlier.Sent,
-		Refused: c.Refused - earlier.Refused, RefusedOver: c.RefusedOver - earlier.RefusedOver,
+		Submitted: c.Submitted - earlier.Submitted, Sent: c.Sent - earlier.Sent,
+		Refused: c.Refused - earlier.Refused, RefusedOverShare: c.RefusedOverShare - earlier.RefusedOverShare,
 	}
 }
--- a/dispatch/upstream.go
+++ b/dispatch/upstream.go
@@ -18,10 +18,10 @@
 	CopyPerToken time.Duration
 	// WarmUntil is when the upstream has warmed up, as far as is known.
 	WarmUntil time.Duration
-	// WarmUpFor is how long it warms up after a restart, and WarmUpRate the requests per
-	// second that this core may send it meanwhile. Without a WarmUpFor there is no bound.
-	WarmUpFor  time.Duration
-	WarmUpRate float64
+	// WarmUpDuration is how long it warms up after a restart, and WarmUpRate the requests per
+	// second that this core may send it meanwhile. Without a WarmUpDuration there is no bound.
+	WarmUpDuration time.Duration
+	WarmUpRate     float64
 	// Region is where it runs.
 	Region string
 }
@@ -92,9 +92,9 @@
 func (u *upstream) cost(r *Request, kept, copied int) time.Duration {
 	have := kept + copied
 	unread := float64(max(r.Prompt-have, 1))
-	ms := unread/u.cfg.TokensPerMs +
-		unread*(float64(have)+unread/2)/u.cfg.PairsPerMs +
-		math.Ceil(unread/float64(u.cfg.ChunkTokens))*u.cfg.StepMs
+	ms := unread/u.cfg.PrefillTokensPerMs +
+		unread*(float64(have)+unread/2)/u.cfg.AttentionPairsPerMs +
+		math.Ceil(unread/float64(u.cfg.ChunkTokens))*u.cfg.PrefillStepMs
 	return time.Duration(ms*u.speed()*float64(time.Millisecond)) + time.Duration(copied)*u.CopyPerToken
 }
 
@@ -112,7 +112,7 @@
 	if u.running >= u.Slots {
 		return true
 	}
-	return u.cfg.Engine && u.running > 0 && u.memory+memory > int(u.cfg.KVUse*float64(u.KVTokens))
+	return u.cfg.Engine && u.running > 0 && u.memory+memory > int(u.cfg.MaxKVFraction*float64(u.KVTokens))
 }
 
 // useWindow is the span over which the use is averaged.
@@ -120,7 +120,7 @@
 
 // token is what each token of the streams takes while nothing is read.
 func (u *upstream) token() time.Duration {
-	return time.Duration(u.cfg.TokenMs * u.speed() * float64(time.Millisecond))
+	return time.Duration(u.cfg.DecodeStepMs * u.speed() * float64(time.Millisecond))
 }
 
 // step is what each token takes at present: while prompts are read, a chunk of them.
@@ -129,7 +129,7 @@
 	if len(u.unread) == 0 {
 		return token
 	}
-	chunk := float64(u.cfg.ChunkTokens) / u.cfg.TokensPerMs * u.speed()
+	chunk := float64(u.cfg.ChunkTokens) / u.cfg.PrefillTokensPerMs * u.speed()
 	most := token + time.Duration(chunk*float64(time.Millisecond))
 	return min(max(u.unread[0].cost, token), most)
 }
@@ -251,12 +251,12 @@
 		u.banned = max(u.banned, now+50*time.Millisecond)
 	case Unreachable:
 		u.leaveAlone(now)
-		u.presumedWarm = max(u.presumedWarm, u.banned+u.WarmUpFor)
-	case Silent:
+		u.presumedWarm = max(u.presumedWarm, u.banned+u.WarmUpDuration)
+	case TimedOut:
 		if u.hangs(j, now, took) {
 			u.leaveAlone(now)
 		}
-	case Cancelled, Withdrawn:
+	case Cancelled, NotSent:
 	}
 }
 
--- a/dispatch/warmup.go
+++ b/dispatch/warmup.go
@@ -9,11 +9,11 @@
 
 // warming reports whether the upstream is warming up, as far as is known.
 func (u *upstream) warming(now time.Duration) bool {
-	return u.WarmUpFor > 0 && now < max(u.WarmUntil, u.presumedWarm)
+	return u.WarmUpDuration > 0 && now < max(u.WarmUntil, u.presumedWarm)
 }
 
-// WarmingUp takes in that an upstream said that it warms up for so much longer.
-func (c *Core) WarmingUp(now time.Duration, at Incarnation, left time.Duration) []Decision {
+// SetWarmingUp takes in that an upstream said that it warms up for so much longer.
+func (c *Core) SetWarmingUp(now time.Duration, at Incarnation, left time.Duration) []Decision {
 	u := c.byID[at.ID]
 	if u == nil || !u.Same(at) {
 		return nil
--- a/dispatch/warmup_test.go
+++ b/dispatch/warmup_test.go
@@ -13,7 +13,7 @@
 func warmingEngines(n int, until time.Duration) []dispatch.Member {
 	members := engines(n)
 	for i := range members {
-		members[i].WarmUpFor, members[i].WarmUpRate = 3*time.Second, 6
+		members[i].WarmUpDuration, members[i].WarmUpRate = 3*time.Second, 6
 	}
 	members[0].WarmUntil = until
 	return members
@@ -26,7 +26,7 @@
 		*seq++
 		r := request(*seq, "a", 1000+*seq)
 		r.Prompt, r.Parts = 100, nil
-		for _, d := range c.Ask(*now, r) {
+		for _, d := range c.Submit(*now, r) {
 			if d.Verdict == dispatch.Send && d.Upstream == "e0" {
 				sends = append(sends, *now)
 			}
@@ -58,13 +58,13 @@
 	c := dispatch.New(dispatch.DefaultConfig(true))
 	now := 2 * time.Second
 	c.SetMembers(now, warmingEngines(1, now+2500*time.Millisecond))
-	d := c.Ask(now, request(1, "a", 5))
+	d := c.Submit(now, request(1, "a", 5))
 	g.Expect(d).To(HaveLen(1))
 	g.Expect(d[0].Verdict).To(Equal(dispatch.Refuse))
 	g.Expect(d[0].RetryAfter).To(BeNumerically(">", 2*time.Second), "when the engine is warm")
-	g.Expect(d[0].Basis.Warming).To(Equal(1))
+	g.Expect(d[0].Details.Warming).To(Equal(1))
 	c.SetMembers(now, warmingEngines(2, now+2500*time.Millisecond))
-	g.Expect(c.Ask(now, request(2, "a", 5))[0].Upstream).To(Equal("e1"))
+	g.Expect(c.Submit(now, request(2, "a", 5))[0].Upstream).To(Equal("e1"))
 }
 
 // Guards against a rush to an engine that restarted while it could not be reached.
@@ -75,7 +75,7 @@
 	c.SetMembers(now, warmingEngines(1, 0))
 	c.GrantWarmUp(true)
 	seq++
-	g.Expect(c.Ask(now, request(seq, "a", 5))[0].Verdict).To(Equal(dispatch.Send))
+	g.Expect(c.Submit(now, request(seq, "a", 5))[0].Verdict).To(Equal(dispatch.Send))
 	c.Done(now, ticket(seq), dispatch.Unreachable, 0)
 	now += time.Second
 	sends := sendsTo(c, &now, time.Second, &seq)
--- a/fleet/ask.go
+++ b/fleet/ask.go
@@ -22,7 +22,7 @@
 	p.homes++
 	p.again = now.Add(n.cfg.AskAgain)
 	if p.home == nil {
-		n.deliver(now, p.key, p.group.core.Ask(time.Duration(now), p.request))
+		n.deliver(now, p.key, p.group.core.Submit(time.Duration(now), p.request))
 		return
 	}
 	n.send(p.home.addr, &packet{Ask: n.newAsk(p.key, p.request)})
@@ -83,7 +83,7 @@
 		n.sendMark(now)
 	default:
 		n.cancelAt(p.home, p.key, p.request.Ticket.Seq)
-		n.decided(now, dispatch.Decision{Ticket: p.request.Ticket, Verdict: dispatch.Refuse, Behind: true})
+		n.decided(now, dispatch.Decision{Ticket: p.request.Ticket, Verdict: dispatch.Refuse, RouterOverloaded: true})
 	}
 }
 
@@ -103,21 +103,21 @@
 		return
 	}
 	p.home = nil
-	n.deliver(now, p.key, p.group.core.Ask(time.Duration(now), p.request))
+	n.deliver(now, p.key, p.group.core.Submit(time.Duration(now), p.request))
 }
 
 // cancelAt tells a home that it need not keep room for a request.
 func (n *Node) cancelAt(home *member, key groupKey, seq uint64) {
 	n.send(home.addr, &packet{Report: &report{
-		Kind: ended, Seq: seq, Service: key.service, Group: key.index, Outcome: dispatch.Withdrawn,
+		Kind: ended, Seq: seq, Service: key.service, Group: key.index, Outcome: dispatch.NotSent,
 	}})
 }
 
 func (n *Node) newAsk(key groupKey, r dispatch.Request) *ask {
 	a := &ask{
-		Seq: r.Ticket.Seq, ID: r.ID, Service: key.service, Group: n.numberOf(key), Team: r.Team, Rank: r.Rank,
-		Prompt: r.Prompt, Output: r.Output, TargetMs: millis(r.Target), LeftMs: millis(r.Left),
-		Warm: r.Warm, Avoid: r.Avoid, Regions: r.Regions,
+		Seq: r.Ticket.Seq, ID: r.ID, Service: key.service, Group: n.numberOf(key), Team: r.Team, Rank: r.Priority,
+		Prompt: r.Prompt, Output: r.Output, TargetMs: millis(r.Target), LeftMs: millis(r.Timeout),
+		Warm: r.CacheHint, Avoid: r.Avoid, Regions: r.Regions,
 	}
 	for _, p := range r.Parts {
 		a.Parts = append(a.Parts, part{ID: p.ID, Tokens: p.Tokens})
@@ -127,9 +127,9 @@
 
 func (a *ask) request(router uint64) dispatch.Request {
 	r := dispatch.Request{
-		Ticket: dispatch.Ticket{Router: router, Seq: a.Seq}, ID: a.ID, Team: a.Team, Rank: a.Rank,
-		Prompt: a.Prompt, Output: a.Output, Target: duration(a.TargetMs), Left: duration(a.LeftMs),
-		Warm: a.Warm, Avoid: a.Avoid, Regions: a.Regions,
+		Ticket: dispatch.Ticket{Router: router, Seq: a.Seq}, ID: a.ID, Team: a.Team, Priority: a.Rank,
+		Prompt: a.Prompt, Output: a.Output, Target: duration(a.TargetMs), Timeout: duration(a.LeftMs),
+		CacheHint: a.Warm, Avoid: a.Avoid, Regions: a.Regions,
 	}
 	for _, p := range a.Parts {
 		r.Parts = append(r.Parts, dispatch.Part{ID: p.ID, Tokens: p.Tokens})
--- a/fleet/beat.go
+++ b/fleet/beat.go
@@ -51,7 +51,7 @@
 	delete(n.members, id)
 	n.log.Info().Str("event", "member").Uint64("router", id).Int("members", len(n.members)).Msg(why)
 	for key, g := range n.groups {
-		n.deliver(now, key, g.core.Drop(time.Duration(now), id))
+		n.deliver(now, key, g.core.DropRouter(time.Duration(now), id))
 	}
 }
 
--- a/fleet/behind_test.go
+++ b/fleet/behind_test.go
@@ -16,7 +16,7 @@
 func decidedBy(m *member) int {
 	asked := 0
 	for _, g := range m.node.Dump().Groups {
-		asked += g.State.Counts.Asked
+		asked += g.State.Counts.Submitted
 	}
 	return asked
 }
--- a/fleet/dump.go
+++ b/fleet/dump.go
@@ -121,17 +121,17 @@
 		s := g.core.State(time.Duration(now))
 		since := s.Counts.Since(g.told)
 		g.told = s.Counts
-		if since.Asked == 0 {
+		if since.Submitted == 0 {
 			continue
 		}
 		n.log.Info().Str("event", "group").Str("group", g.key).Bool("home", g.home == n.self).
-			Int("upstreams", s.Upstreams).Int("banned", s.Banned).Int("warming", s.Warming).Float64("use", s.Use).Int64("unread_ms", s.Unread.Milliseconds()).
+			Int("upstreams", s.Upstreams).Int("banned", s.Banned).Int("warming", s.Warming).Float64("use", s.Utilization).Int64("unread_ms", s.Backlog.Milliseconds()).
 			Int("waiting", s.Waiting).Int("running", s.Running).Int64("served_tokens", int64(s.Served)).
-			Int64("room_tokens", int64(s.Room)).Int64("share_tokens", int64(s.Level)).Float64("over_use", s.OverUse).
-			Int("asked", since.Asked).Int("sent", since.Sent).Int("refused", since.Refused).Int("refused_over", since.RefusedOver).
+			Int64("room_tokens", int64(s.Capacity)).Int64("share_tokens", int64(s.FairShare)).Float64("over_use", s.OverShareTargetFraction).
+			Int("asked", since.Submitted).Int("sent", since.Sent).Int("refused", since.Refused).Int("refused_over", since.RefusedOverShare).
 			Int64("lag_us", n.Lag().Microseconds()).Msg("decisions of a group")
 		if since.Refused > 0 {
-			n.logTeams(now, g, s.Level)
+			n.logTeams(now, g, s.FairShare)
 		}
 	}
 }
@@ -139,10 +139,10 @@
 // logTeams tells how the teams stand that a group's home refuses.
 func (n *Node) logTeams(now boottime.Time, g *group, level float64) {
 	for _, t := range g.core.Teams(time.Duration(now), teamsTold) {
-		n.log.Info().Str("event", "share").Str("group", g.key).Str("team", t.Team).Int64("asked_tokens", int64(t.Asked)).
-			Int64("served_tokens", int64(t.Served)).Int64("lately_tokens", int64(t.Lately)).
-			Int64("elsewhere_tokens", int64(t.Elsewhere)).
-			Int64("group_asked_sum", int64(t.AskedAll)).Int64("group_served_sum", int64(t.ServedAll)).
-			Int64("share_tokens", int64(level)).Bool("over_share", t.Over).Msg("a team's account")
+		n.log.Info().Str("event", "share").Str("group", g.key).Str("team", t.Team).Int64("asked_tokens", int64(t.Requested)).
+			Int64("served_tokens", int64(t.Served)).Int64("lately_tokens", int64(t.Recent)).
+			Int64("elsewhere_tokens", int64(t.Remote)).
+			Int64("group_asked_sum", int64(t.RequestedTotal)).Int64("group_served_sum", int64(t.ServedTotal)).
+			Int64("share_tokens", int64(level)).Bool("over_share", t.OverShare).Msg("a team's account")
 	}
 }
--- a/fleet/events.go
+++ b/fleet/events.go
@@ -97,7 +97,7 @@
 		return fastTick
 	}
 	for _, g := range n.groups {
-		if g.core.Waiting() {
+		if g.core.HasWaiting() {
 			return fastTick
 		}
 	}
@@ -121,7 +121,7 @@
 		n.beatAll(now)
 	case cachedEvent:
 		if g := n.groups[e.key]; g != nil {
-			g.core.Seed(e.upstream, e.parts)
+			g.core.SeedCache(e.upstream, e.parts)
 		}
 	case seedsEvent:
 		n.cfg.Seeds = e.ips
--- a/fleet/export_test.go
+++ b/fleet/export_test.go
@@ -62,14 +62,14 @@
 }
 
 // Served is what this router gave to a team as the home of a group, now or before.
-func (n *Node) Served(service string, group int, team string) dispatch.Got {
-	answers := make(chan dispatch.Got, 1)
+func (n *Node) Served(service string, group int, team string) dispatch.Usage {
+	answers := make(chan dispatch.Usage, 1)
 	n.post(inspectEvent{do: func(now boottime.Time) {
 		if g := n.groups[groupKey{service: service, index: group}]; g != nil {
-			answers <- g.core.Served(time.Duration(now), team)
+			answers <- g.core.LocalUsage(time.Duration(now), team)
 			return
 		}
-		answers <- dispatch.Got{}
+		answers <- dispatch.Usage{}
 	}})
 	return <-answers
 }
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -203,7 +203,7 @@
 
 func ask(m *member, session uint64) (dispatch.Decision, dispatch.Ticket, error) {
 	r := dispatch.Request{
-		Ticket: m.node.NewTicket(), Team: "a", Prompt: 3000, Output: 10, Target: 5 * time.Second, Left: 10 * time.Second,
+		Ticket: m.node.NewTicket(), Team: "a", Prompt: 3000, Output: 10, Target: 5 * time.Second, Timeout: 10 * time.Second,
 		Parts: []dispatch.Part{{ID: session, Tokens: 2000}, {ID: 1 << 50, Tokens: 1000}},
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
--- a/fleet/group.go
+++ b/fleet/group.go
@@ -90,7 +90,7 @@
 		m := dispatch.Member{Incarnation: incarnation(u), Slots: slots(u), Region: n.cfg.Regions[u.FailureDomain]}
 		if svc != nil && svc.WarmUp.Limited() {
 			m.WarmUntil = time.Duration(warmUntil(s.View, u, svc.WarmUp))
-			m.WarmUpFor, m.WarmUpRate = svc.WarmUp.Duration, n.cfg.WarmUp.Rate(svc.WarmUp)
+			m.WarmUpDuration, m.WarmUpRate = svc.WarmUp.Duration, n.cfg.WarmUp.Rate(svc.WarmUp)
 		}
 		if svc != nil && svc.Engine != nil {
 			m.KVTokens = svc.Engine.KVTokens
@@ -236,7 +236,7 @@
 			continue
 		}
 		if home == nil {
-			g.core.Held(time.Duration(now), h.request, h.upstream, h.begun)
+			g.core.AddInFlight(time.Duration(now), h.request, h.upstream, h.begun)
 			continue
 		}
 		n.send(home.addr, &packet{Report: &report{
--- a/fleet/home.go
+++ b/fleet/home.go
@@ -19,17 +19,17 @@
 	if g == nil {
 		return
 	}
-	n.deliver(now, key, g.core.Ask(time.Duration(now), a.request(from)))
+	n.deliver(now, key, g.core.Submit(time.Duration(now), a.request(from)))
 }
 
 // logRefusal tells what a refusal rests on.
 func (n *Node) logRefusal(key groupKey, d dispatch.Decision) {
-	b := &d.Basis
+	b := &d.Details
 	n.limited.Warn("decision", func(e *obs.Event) {
-		e.Str("request", b.ID).Str("service", key.service).Str("team", b.Team).Bool("over_share", d.Over).
+		e.Str("request", b.ID).Str("service", key.service).Str("team", b.Team).Bool("over_share", d.OverShare).
 			Int64("served_tokens", int64(b.Served)).Int64("share_tokens", int64(b.Share)).
-			Int64("predicted_ms", d.Wait.Milliseconds()).Str("upstream", b.Upstream).
-			Int64("unread_ms", b.Unread.Milliseconds()).Int("waiting", b.Waiting).Int("running", b.Running).Int("warming", b.Warming).
+			Int64("predicted_ms", d.PredictedFirstByte.Milliseconds()).Str("upstream", b.Upstream).
+			Int64("unread_ms", b.Backlog.Milliseconds()).Int("waiting", b.Waiting).Int("running", b.Running).Int("warming", b.Warming).
 			Int64("retry_after_ms", d.RetryAfter.Milliseconds()).Msg("refused by the home")
 	})
 }
@@ -50,7 +50,7 @@
 		}
 		n.send(m.addr, &packet{Reply: &reply{
 			Seq: d.Ticket.Seq, Service: key.service, Group: n.numberOf(key), Verdict: d.Verdict, Upstream: d.Upstream, CopyFrom: d.CopyFrom,
-			RetryMs: millis(d.RetryAfter), WaitMs: millis(d.Wait), WaitedMs: millis(d.Waited), Over: d.Over, Warming: d.Warming,
+			RetryMs: millis(d.RetryAfter), WaitMs: millis(d.PredictedFirstByte), WaitedMs: millis(d.SinceFirstAttempt), Over: d.OverShare, Warming: d.Warming,
 			Allowance: float32(d.Allowance),
 		}})
 	}
@@ -75,7 +75,7 @@
 		n.deliver(now, key, g.core.Done(at, ticket, r.Outcome, duration(r.TookMs)))
 	case holds:
 		if r.Held != nil {
-			g.core.Held(at, r.Held.request(from), dispatch.Incarnation{ID: r.Upstream, Started: r.Started}, r.Begun)
+			g.core.AddInFlight(at, r.Held.request(from), dispatch.Incarnation{ID: r.Upstream, Started: r.Started}, r.Begun)
 		}
 	}
 }
--- a/fleet/place.go
+++ b/fleet/place.go
@@ -47,7 +47,7 @@
 	case d := <-answer:
 		return d, nil
 	case <-ctx.Done():
-		n.Done(service, r.Ticket, dispatch.Withdrawn, 0)
+		n.Done(service, r.Ticket, dispatch.NotSent, 0)
 		return dispatch.Decision{}, ctx.Err()
 	}
 }
@@ -94,7 +94,7 @@
 		e.answer <- dispatch.Decision{Verdict: dispatch.Refuse, RetryAfter: time.Second}
 		return
 	}
-	e.request.Warm = n.warmFor(s, e.request.Parts)
+	e.request.CacheHint = n.warmFor(s, e.request.Parts)
 	p := &pending{request: e.request, key: key, group: g, answer: e.answer, asked: now}
 	n.pending[e.request.Ticket.Seq] = p
 	p.local = now.Add(n.cfg.AskLocal)
@@ -156,7 +156,7 @@
 	}
 	n.decided(now, dispatch.Decision{
 		Ticket: dispatch.Ticket{Router: n.self, Seq: r.Seq}, Verdict: r.Verdict, Upstream: r.Upstream, CopyFrom: r.CopyFrom,
-		RetryAfter: duration(r.RetryMs), Wait: duration(r.WaitMs), Waited: duration(r.WaitedMs), Over: r.Over, Warming: r.Warming,
+		RetryAfter: duration(r.RetryMs), PredictedFirstByte: duration(r.WaitMs), SinceFirstAttempt: duration(r.WaitedMs), OverShare: r.Over, Warming: r.Warming,
 		Allowance: allowance(r.Allowance),
 	})
 }
@@ -177,7 +177,7 @@
 	}
 	if d.Verdict == dispatch.Wait {
 		p.acked = true
-		p.again = now.Add(max(confirmEvery, d.Wait+fastTick))
+		p.again = now.Add(max(confirmEvery, d.PredictedFirstByte+fastTick))
 		return
 	}
 	delete(n.pending, d.Ticket.Seq)
--- a/fleet/probe.go
+++ b/fleet/probe.go
@@ -73,5 +73,5 @@
 	n.limited.Info("probe", func(l *obs.Event) {
 		l.Str("upstream", e.upstream.ID).Int64("warm_up_ms", e.left.Milliseconds()).Msg("upstream warms up")
 	})
-	n.deliver(now, e.key, g.core.WarmingUp(time.Duration(now), e.upstream, e.left))
+	n.deliver(now, e.key, g.core.SetWarmingUp(time.Duration(now), e.upstream, e.left))
 }
--- a/fleet/shed.go
+++ b/fleet/shed.go
@@ -91,9 +91,9 @@
 	m := &shed{Service: key.group.service, Group: key.group.index, Team: key.team}
 	tokens := 0.0
 	for _, e := range entries {
-		tokens += dispatch.Tokens(&e.request)
+		tokens += dispatch.ChargedTokens(&e.request)
 		m.Requests = append(m.Requests, shedRequest{
-			Fingerprint: uint64(e.print), AgoMs: millis(now.Sub(e.at)), LeftMs: millis(e.request.Left),
+			Fingerprint: uint64(e.print), AgoMs: millis(now.Sub(e.at)), LeftMs: millis(e.request.Timeout),
 		})
 	}
 	m.Tokens = int(tokens)
@@ -109,11 +109,11 @@
 	if g == nil {
 		return
 	}
-	var requests []dispatch.Shed
+	var requests []dispatch.ShedRequest
 	for _, r := range m.Requests {
-		requests = append(requests, dispatch.Shed{
-			Fingerprint: dispatch.Fingerprint(r.Fingerprint), Ago: duration(r.AgoMs), Left: duration(r.LeftMs),
+		requests = append(requests, dispatch.ShedRequest{
+			Fingerprint: dispatch.Fingerprint(r.Fingerprint), Age: duration(r.AgoMs), Timeout: duration(r.LeftMs),
 		})
 	}
-	g.core.NoteShed(time.Duration(now), from, m.Team, float64(max(m.Tokens, 0)), requests)
+	g.core.RecordShed(time.Duration(now), from, m.Team, float64(max(m.Tokens, 0)), requests)
 }
--- a/fleet/tally.go
+++ b/fleet/tally.go
@@ -47,7 +47,7 @@
 	teams := n.teamsServed(now)
 	for _, t := range teams {
 		hub := n.hubFor(now, tallyKey(t.Team))
-		byHub[hub] = append(byHub[hub], newTeamGot(t.Team, t.Got))
+		byHub[hub] = append(byHub[hub], newTeamGot(t.Team, t.Usage))
 	}
 	n.tallyEvery = min(max(time.Duration(len(teams))*tallyPerTeam, minTallyEvery), maxTallyEvery)
 	for hub, part := range byHub {
@@ -71,31 +71,31 @@
 }
 
 // teamsServed sums up what this router's homes gave to teams, in the teams' order.
-func (n *Node) teamsServed(now boottime.Time) []dispatch.TeamGot {
-	all := map[string]dispatch.Got{}
+func (n *Node) teamsServed(now boottime.Time) []dispatch.TeamUsage {
+	all := map[string]dispatch.Usage{}
 	for _, g := range n.groups {
-		for _, t := range g.core.Tell(time.Duration(now)) {
-			all[t.Team] = dispatch.Got{}
+		for _, t := range g.core.UsageReport(time.Duration(now)) {
+			all[t.Team] = dispatch.Usage{}
 		}
 	}
-	out := make([]dispatch.TeamGot, 0, len(all))
+	out := make([]dispatch.TeamUsage, 0, len(all))
 	for team := range all {
-		out = append(out, dispatch.TeamGot{Team: team, Got: n.servedBy(now, team, nil)})
+		out = append(out, dispatch.TeamUsage{Team: team, Usage: n.servedBy(now, team, nil)})
 	}
-	slices.SortFunc(out, func(a, b dispatch.TeamGot) int { return strings.Compare(a.Team, b.Team) })
+	slices.SortFunc(out, func(a, b dispatch.TeamUsage) int { return strings.Compare(a.Team, b.Team) })
 	return out
 }
 
 // servedBy is what this router's homes gave to a team, all but one.
-func (n *Node) servedBy(now boottime.Time, team string, but *group) dispatch.Got {
-	var got dispatch.Got
+func (n *Node) servedBy(now boottime.Time, team string, but *group) dispatch.Usage {
+	var got dispatch.Usage
 	for _, g := range n.groups {
 		if g == but {
 			continue
 		}
-		served := g.core.Served(time.Duration(now), team)
+		served := g.core.LocalUsage(time.Duration(now), team)
 		got.Window += served.Window
-		got.Lately += served.Lately
+		got.Recent += served.Recent
 	}
 	return got
 }
@@ -132,8 +132,8 @@
 	for i := range teams {
 		t := &teams[i]
 		l := n.ledgers[tallyPart(t.Team)]
-		l.Tell(time.Duration(now), router, t.Team, t.got())
-		if got, ok := l.Others(time.Duration(now), router, t.Team); ok {
+		l.Record(time.Duration(now), router, t.Team, t.got())
+		if got, ok := l.RemoteUsage(time.Duration(now), router, t.Team); ok {
 			others = append(others, newTeamGot(t.Team, got))
 		}
 	}
@@ -147,21 +147,21 @@
 		others := t.got()
 		for _, g := range n.groups {
 			own := n.servedBy(now, t.Team, g)
-			g.core.Elsewhere(time.Duration(now), t.Team, dispatch.Got{
-				Window: others.Window + own.Window, Lately: others.Lately + own.Lately,
+			g.core.SetRemoteUsage(time.Duration(now), t.Team, dispatch.Usage{
+				Window: others.Window + own.Window, Recent: others.Recent + own.Recent,
 			})
 		}
 	}
 }
 
-func newTeamGot(team string, got dispatch.Got) teamGot {
-	return teamGot{Team: team, Window: float32(got.Window), Lately: float32(got.Lately)}
+func newTeamGot(team string, got dispatch.Usage) teamGot {
+	return teamGot{Team: team, Window: float32(got.Window), Lately: float32(got.Recent)}
 }
 
 // got is what a peer told of a team. Numbers that can't be tokens count as nothing: they
 // would spoil the shares of all teams.
-func (t *teamGot) got() dispatch.Got {
-	return dispatch.Got{Window: toldTokens(t.Window), Lately: toldTokens(t.Lately)}
+func (t *teamGot) got() dispatch.Usage {
+	return dispatch.Usage{Window: toldTokens(t.Window), Recent: toldTokens(t.Lately)}
 }
 
 // mostTold is above what any team gets within a share's window.
--- a/fleet/tally_test.go
+++ b/fleet/tally_test.go
@@ -57,7 +57,7 @@
 // serveOne places a request and ends it a moment later.
 func serveOne(ctx context.Context, m *member, team string, i uint64) {
 	r := dispatch.Request{
-		Ticket: m.node.NewTicket(), Team: team, Prompt: 1000, Output: 10, Target: time.Second, Left: 2 * time.Second,
+		Ticket: m.node.NewTicket(), Team: team, Prompt: 1000, Output: 10, Target: time.Second, Timeout: 2 * time.Second,
 		Parts: []dispatch.Part{{ID: 1000 + i%40, Tokens: 900}, {ID: 1 << 50, Tokens: 100}},
 	}
 	d, err := m.node.Place(ctx, "llm", r)
@@ -99,7 +99,7 @@
 	g.Expect(accounts).To(HaveLen(tallyGroups))
 	truth := got(up, team)
 	for i, a := range accounts {
-		g.Expect(a.Served+a.Elsewhere).To(BeNumerically("~", truth, truth/4), "%s at group %d", team, i)
+		g.Expect(a.Served+a.Remote).To(BeNumerically("~", truth, truth/4), "%s at group %d", team, i)
 	}
 }
 
@@ -157,7 +157,7 @@
 		for range 30 {
 			time.Sleep(200 * time.Millisecond)
 			for _, a := range c.accounts(up, "wide") {
-				g.Expect(a.Elsewhere).To(BeNumerically(">", a.Served/2))
+				g.Expect(a.Remote).To(BeNumerically(">", a.Served/2))
 			}
 		}
 		c.knowAll(g, up, "wide")
@@ -181,7 +181,7 @@
 			least := math.Inf(1)
 			accounts := c.accounts(up, "wide")
 			for _, a := range accounts {
-				least = min(least, a.Elsewhere)
+				least = min(least, a.Remote)
 			}
 			if len(accounts) < tallyGroups {
 				return 0
--- a/fleet/warmup_test.go
+++ b/fleet/warmup_test.go
@@ -123,10 +123,10 @@
 
 func (f *coldFleet) request(m *member, session uint64) {
 	r := dispatch.Request{
-		Ticket: m.node.NewTicket(), Team: "a", Prompt: 100, Output: 10, Target: time.Second, Left: 2 * time.Second,
+		Ticket: m.node.NewTicket(), Team: "a", Prompt: 100, Output: 10, Target: time.Second, Timeout: 2 * time.Second,
 		Parts: []dispatch.Part{{ID: session, Tokens: 90}, {ID: session + 1, Tokens: 10}},
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), r.Left)
+	ctx, cancel := context.WithTimeout(context.Background(), r.Timeout)
 	defer cancel()
 	d, err := m.node.Place(ctx, "llm", r)
 	if err != nil || d.Verdict != dispatch.Send {
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -17,7 +17,7 @@
 // sends a long prompt and is refused.
 func BenchmarkRefusal(b *testing.B) {
 	r := newRig(b, map[string]script{"u1": ok("answer")})
-	r.placer.refuse = &dispatch.Decision{Verdict: dispatch.Refuse, Over: true, RetryAfter: 100 * time.Millisecond}
+	r.placer.refuse = &dispatch.Decision{Verdict: dispatch.Refuse, OverShare: true, RetryAfter: 100 * time.Millisecond}
 	body := strings.Repeat("x", 18000)
 	raw := fmt.Sprintf("POST /stream/ HTTP/1.1\r\nHost: h\r\nX-Id: 1\r\nX-Key: k1\r\nX-Left: 6000\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	b.ReportAllocs()
@@ -40,7 +40,7 @@
 // Callers keep half of their connections.
 func BenchmarkShed(b *testing.B) {
 	r := newRig(b, map[string]script{"u1": ok("answer")})
-	r.placer.refuse = &dispatch.Decision{Verdict: dispatch.Refuse, Over: true, RetryAfter: 100 * time.Millisecond, Allowance: 1}
+	r.placer.refuse = &dispatch.Decision{Verdict: dispatch.Refuse, OverShare: true, RetryAfter: 100 * time.Millisecond, Allowance: 1}
 	body := strings.Repeat("x", 9000)
 	raw := fmt.Sprintf("POST /stream/ HTTP/1.1\r\nHost: h\r\nX-Id: 1\r\nX-Key: k1\r\nX-Left: 6000\r\nX-Tokens: 9000,50\r\nX-Parts: 5c1e07a2:2520,91bd3f06:3780,e4402b7d:2700\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	b.ReportAllocs()
--- a/gateway/busy_test.go
+++ b/gateway/busy_test.go
@@ -36,7 +36,7 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		return resp.StatusCode
 	}
-	r.placer.refuse = &dispatch.Decision{Verdict: dispatch.Refuse, Over: true, RetryAfter: 100 * time.Millisecond, Allowance: 10}
+	r.placer.refuse = &dispatch.Decision{Verdict: dispatch.Refuse, OverShare: true, RetryAfter: 100 * time.Millisecond, Allowance: 10}
 	g.Expect(call("k1")).To(Equal(429), "the home says what is allowed")
 	g.Expect(call("k1")).To(Equal(429), "this one uses it up")
 	g.Expect(asked).To(Equal(2))
@@ -48,7 +48,7 @@
 	g.Expect(call("k2")).To(Equal(200))
 
 	// No bound any more: the flood is over, or engines have come.
-	r.placer.refuse = &dispatch.Decision{Verdict: dispatch.Refuse, Over: true, Allowance: dispatch.Unlimited}
+	r.placer.refuse = &dispatch.Decision{Verdict: dispatch.Refuse, OverShare: true, Allowance: dispatch.Unlimited}
 	r.placer.group = 1
 	g.Expect(call("k1")).To(Equal(429))
 	g.Expect(asked).To(Equal(4), "another home allows it more")
--- a/gateway/outcome_test.go
+++ b/gateway/outcome_test.go
@@ -28,7 +28,7 @@
 		script script
 		want   dispatch.Outcome
 	}{
-		"no answer until the deadline": {hang, dispatch.Silent},
+		"no answer until the deadline": {hang, dispatch.TimedOut},
 		"breaks off after the request": {drop, dispatch.Failed},
 		"has no room":                  {status(503, "X-Not-Run: 1\r\n"), dispatch.Rejected},
 		"fails":                        {status(500, "X-Seal: s\r\n"), dispatch.Failed},
--- a/gateway/regions_test.go
+++ b/gateway/regions_test.go
@@ -105,5 +105,5 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(resp.StatusCode).To(Equal(http.StatusServiceUnavailable))
 	g.Expect(r.runs()).To(BeEmpty())
-	g.Expect(r.placer.seen()).To(ContainElement(dispatch.Withdrawn))
+	g.Expect(r.placer.seen()).To(ContainElement(dispatch.NotSent))
 }
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -249,7 +249,7 @@
 
 // tokens is what the request counts in its team's share.
 func (r *request) tokens() float64 {
-	return dispatch.Tokens(&dispatch.Request{Prompt: r.prompt, Output: r.output})
+	return dispatch.ChargedTokens(&dispatch.Request{Prompt: r.prompt, Output: r.output})
 }
 
 func (r *request) teamName() string {
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -20,7 +20,7 @@
 	id := d.Upstream
 	u := s.state.Snapshot().View.Upstream(id)
 	if u == nil {
-		s.placer.Done(r.service, t, dispatch.Withdrawn, 0)
+		s.placer.Done(r.service, t, dispatch.NotSent, 0)
 		return result{refused: notRun("upstream_left", "the upstream left before the request was sent", retryLater), again: true}
 	}
 	s.count(r)
@@ -88,7 +88,7 @@
 	r.record.cause = err.Error()
 	if upstream.NotSent(err) {
 		if ctx.Err() != nil {
-			s.placer.Done(r.service, t, dispatch.Withdrawn, 0)
+			s.placer.Done(r.service, t, dispatch.NotSent, 0)
 			return result{refused: s.unplaced(r, ctx.Err())}
 		}
 		s.placer.Done(r.service, t, unsentOutcome(err), 0)
@@ -100,7 +100,7 @@
 	if ctx.Err() != nil {
 		o := dispatch.Cancelled
 		if r.ctx.Err() == nil {
-			o = dispatch.Silent
+			o = dispatch.TimedOut
 		}
 		s.placer.Done(r.service, t, o, took)
 		return result{refused: noAnswer(r)}
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -79,7 +79,7 @@
 	d, err := s.placer.Place(ctx, r.service, s.ask(r, ticket, avoid))
 	r.places++
 	r.record.placed += time.Since(at)
-	r.record.predicted, r.record.waited, r.record.over = d.Wait, d.Waited, d.Over
+	r.record.predicted, r.record.waited, r.record.over = d.PredictedFirstByte, d.SinceFirstAttempt, d.OverShare
 	if err != nil {
 		return result{refused: s.unplaced(r, err)}
 	}
@@ -92,12 +92,12 @@
 	}
 	u, refused := s.mayUse(r, d.Upstream)
 	if refused != nil {
-		s.placer.Done(r.service, ticket, dispatch.Withdrawn, 0)
+		s.placer.Done(r.service, ticket, dispatch.NotSent, 0)
 		return result{refused: refused, again: u}
 	}
 	if d.Warming && boottime.Now().Sub(asked) > warmup.GrantTTL {
 		s.stats.withheld[withheldWarming].Inc(1)
-		s.placer.Done(r.service, ticket, dispatch.Withdrawn, 0)
+		s.placer.Done(r.service, ticket, dispatch.NotSent, 0)
 		r.record.cause = "decision to send to warming upstream " + d.Upstream + " is too old"
 		return result{refused: notRun("upstream_warming", "the upstream is warming up; the request was not run", retryLater), again: true}
 	}
@@ -111,7 +111,7 @@
 		target = r.deadline.Sub(r.arrived)
 	}
 	return dispatch.Request{
-		Ticket: t, ID: r.id, Team: r.teamName(), Rank: r.rank(), Prompt: r.prompt, Output: r.output, Parts: r.parts,
-		Target: target - time.Since(r.arrived), Left: time.Until(r.deadline), Avoid: avoid, Regions: r.regions,
+		Ticket: t, ID: r.id, Team: r.teamName(), Priority: r.rank(), Prompt: r.prompt, Output: r.output, Parts: r.parts,
+		Target: target - time.Since(r.arrived), Timeout: time.Until(r.deadline), Avoid: avoid, Regions: r.regions,
 	}
 }
--- a/gateway/shed.go
+++ b/gateway/shed.go
@@ -43,7 +43,7 @@
 	ask := s.ask(r, dispatch.Ticket{}, r.tried)
 	arrival := limits.Arrival{
 		Share:  limits.ShareKey{Service: r.service, Group: s.placer.Group(r.service, ask), Team: r.teamName()},
-		Tokens: dispatch.Tokens(&ask), Streaming: r.route.Kind == routing.Streaming, Lag: lag,
+		Tokens: dispatch.ChargedTokens(&ask), Streaming: r.route.Kind == routing.Streaming, Lag: lag,
 	}
 	var verdict limits.Verdict
 	s.shedder.with(func(t *limits.Shedder) { verdict = t.Arrived(time.Since(s.start), arrival) })
@@ -72,7 +72,7 @@
 	}
 	key := limits.ShareKey{Service: r.service, Group: d.Group, Team: r.teamName()}
 	var after time.Duration
-	if d.Over {
+	if d.OverShare {
 		after = d.RetryAfter
 	}
 	s.shedder.with(func(t *limits.Shedder) { t.Told(time.Since(s.start), key, d.Allowance, after) })
--- a/gateway/teams_test.go
+++ b/gateway/teams_test.go
@@ -24,7 +24,7 @@
 	g.Expect(call()).To(Equal(200))
 	g.Expect(r.server.TeamLoads(5)).To(BeEmpty(), "nothing was refused")
 
-	r.placer.refuse = &dispatch.Decision{Verdict: dispatch.Refuse, Over: true, RetryAfter: 100 * time.Millisecond, Allowance: 10}
+	r.placer.refuse = &dispatch.Decision{Verdict: dispatch.Refuse, OverShare: true, RetryAfter: 100 * time.Millisecond, Allowance: 10}
 	g.Expect(call()).To(Equal(429))
 	g.Expect(call()).To(Equal(429))
 	time.Sleep(10 * time.Millisecond)
--- a/gateway/unserved.go
+++ b/gateway/unserved.go
@@ -37,11 +37,11 @@
 
 // refuse tells the caller when to come back.
 func (s *Server) refuse(r *request, d dispatch.Decision) *refusal {
-	if d.Over {
+	if d.OverShare {
 		s.teams.note(r.teamName(), func(l *TeamLoad) { l.OverShare++ })
 		return overShareRefusal(d.RetryAfter)
 	}
-	if d.Behind {
+	if d.RouterOverloaded {
 		s.teams.note(r.teamName(), func(l *TeamLoad) { l.Busy++ })
 		return busyRefusal()
 	}
--- a/lab/homes.go
+++ b/lab/homes.go
@@ -49,7 +49,7 @@
 			continue
 		}
 		at := dispatch.Incarnation{ID: r.upstream}
-		next.core.Held(h.w.clock.now, next.question(r), at, r.first > 0)
+		next.core.AddInFlight(h.w.clock.now, next.question(r), at, r.first > 0)
 	}
 }
 
@@ -70,14 +70,14 @@
 func (h *homes) tell(home int) {
 	h.w.clock.after(tellEvery, func() { h.tell(home) })
 	teller := h.all[home]
-	for _, t := range teller.core.Tell(h.w.clock.now) {
+	for _, t := range teller.core.UsageReport(h.w.clock.now) {
 		h.after(func() {
-			h.ledger.Tell(h.w.clock.now, uint64(home), t.Team, t.Got)
-			others, ok := h.ledger.Others(h.w.clock.now, uint64(home), t.Team)
+			h.ledger.Record(h.w.clock.now, uint64(home), t.Team, t.Usage)
+			others, ok := h.ledger.RemoteUsage(h.w.clock.now, uint64(home), t.Team)
 			if !ok {
 				return
 			}
-			h.after(func() { teller.core.Elsewhere(h.w.clock.now, t.Team, others) })
+			h.after(func() { teller.core.SetRemoteUsage(h.w.clock.now, t.Team, others) })
 		})
 	}
 }
--- a/lab/policy.go
+++ b/lab/policy.go
@@ -147,14 +147,14 @@
 	}
 	return dispatch.Request{
 		Ticket: c.ticket(r), Team: strconv.Itoa(r.team), Prompt: r.prompt(), Output: r.hint,
-		Parts: r.parts, Target: target, Left: c.w.left(r),
+		Parts: r.parts, Target: target, Timeout: c.w.left(r),
 	}
 }
 
 func (c *cored) ask(r *request) {
 	r.asks = true
 	ask := c.question(r)
-	c.w.clock.after(c.delay, func() { c.deliver(c.core.Ask(c.w.clock.now, ask)) })
+	c.w.clock.after(c.delay, func() { c.deliver(c.core.Submit(c.w.clock.now, ask)) })
 }
 
 func (c *cored) shed(r *request) {
@@ -165,7 +165,7 @@
 	}
 	at := c.w.clock.now
 	c.w.clock.after(c.delay, func() {
-		c.core.NoteShed(c.w.clock.now, q.Ticket.Router, q.Team, dispatch.Tokens(&q), []dispatch.Shed{{Fingerprint: f, Ago: c.w.clock.now - at, Left: q.Left}})
+		c.core.RecordShed(c.w.clock.now, q.Ticket.Router, q.Team, dispatch.ChargedTokens(&q), []dispatch.ShedRequest{{Fingerprint: f, Age: c.w.clock.now - at, Timeout: q.Timeout}})
 	})
 }
 
