--- a/dispatch/account.go
+++ b/dispatch/account.go
@@ -5,65 +5,65 @@
 	"time"
 )
 
-// account is a team's, in tokens. What was asked and served are sums that decay over
-// the window, lately is what was served with a decay over rateWindow.
+// account is the demand and usage of a team in tokens. requested and served are sums that
+// decay over the share window; recent is what was served, with a decay over rateWindow.
 type account struct {
-	asked, served, lately float64
-	at                    time.Duration
-	// elsewhere is what the team is taken to have got from other homes, after told.
-	elsewhere Usage
-	told      told
-	// askedAll and servedAll are sums since the account began.
-	askedAll, servedAll float64
-	// routers is what was asked for by router.
-	routers routers
-	// refusedAt is when a request of the team was last refused, here or by a router
-	// on its own.
-	refusedAt time.Duration
+	requested, served, recent float64
+	updatedAt                 time.Duration
+	// remote is the usage at other homes, estimated from remoteReport.
+	remote       Usage
+	remoteReport remoteReport
+	// requestedTotal and servedTotal are sums since the account was created.
+	requestedTotal, servedTotal float64
+	// routers is the demand by router.
+	routers routerDemand
+	// lastRefusalAt is when a request of the team was last refused, here or by a router
+	// without submitting it.
+	lastRefusalAt time.Duration
 }
 
-// decay brings the account up to the present.
+// decay brings the account up to now.
 func (a *account) decay(now, window time.Duration) {
-	if now <= a.at {
+	if now <= a.updatedAt {
 		return
 	}
-	f := math.Exp(-float64(now-a.at) / float64(window))
-	late := math.Exp(-float64(now-a.at) / float64(rateWindow))
-	a.asked *= f
-	a.served *= f
-	a.lately *= late
-	a.elsewhere = a.told.value(now, window)
-	a.at = now
+	factor := math.Exp(-float64(now-a.updatedAt) / float64(window))
+	recentFactor := math.Exp(-float64(now-a.updatedAt) / float64(rateWindow))
+	a.requested *= factor
+	a.served *= factor
+	a.recent *= recentFactor
+	a.remote = a.remoteReport.estimate(now, window)
+	a.updatedAt = now
 }
 
-// ask notes what a router asks for.
-func (a *account) ask(now, window time.Duration, router uint64, tokens float64) {
-	a.asked += tokens
-	a.askedAll += tokens
+// addRequested records tokens that a router requests.
+func (a *account) addRequested(now, window time.Duration, router uint64, tokens float64) {
+	a.requested += tokens
+	a.requestedTotal += tokens
 	a.routers.add(now, window, router, tokens)
 }
 
-// serve notes what the team was served.
-func (a *account) serve(tokens float64) {
+// addServed records tokens that the team was served.
+func (a *account) addServed(tokens float64) {
 	a.served += tokens
-	a.lately += tokens
-	a.servedAll += tokens
+	a.recent += tokens
+	a.servedTotal += tokens
 }
 
-// giveBack takes back what was noted as served so long ago.
-func (a *account) giveBack(ago, window time.Duration, tokens float64) {
+// refund reverses tokens that were recorded as served some time ago.
+func (a *account) refund(ago, window time.Duration, tokens float64) {
 	a.served = max(a.served-tokens*math.Exp(-float64(ago)/float64(window)), 0)
-	a.lately = max(a.lately-tokens*math.Exp(-float64(ago)/float64(rateWindow)), 0)
-	a.servedAll -= tokens
+	a.recent = max(a.recent-tokens*math.Exp(-float64(ago)/float64(rateWindow)), 0)
+	a.servedTotal -= tokens
 }
 
-// total is what the team got within the window from all homes.
-func (a *account) total() float64 { return a.served + a.elsewhere.Window }
+// total returns the usage within the window from all homes.
+func (a *account) total() float64 { return a.served + a.remote.Window }
 
-// totalLately is the same within the last moments.
-func (a *account) totalLately() float64 { return a.lately + a.elsewhere.Recent }
+// totalRecent returns the usage over rateWindow from all homes.
+func (a *account) totalRecent() float64 { return a.recent + a.remote.Recent }
 
-// partOf is the part of what is asked for the team that comes through a router.
-func (a *account) partOf(now, window time.Duration, router uint64) float64 {
-	return a.routers.asked(now, window, router) / max(a.asked, idleAccount)
+// routerFraction returns the fraction of the team's demand that comes through a router.
+func (a *account) routerFraction(now, window time.Duration, router uint64) float64 {
+	return a.routers.requested(now, window, router) / max(a.requested, minAccountTokens)
 }
--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -5,97 +5,97 @@
 	"time"
 )
 
-// overUse is the part of the target that requests of teams above their share may
-// wait. It falls with each refusal of a team within its share and comes back
-// while there are none (additive increase, multiplicative decrease): what is
-// spare can't be known from queues alone, as large teams fill every gap at once.
-func (c *Core) overUse(now time.Duration) float64 {
-	back := (now - c.overAt).Seconds() * c.cfg.OverShareRecovery
-	return min(c.overLeft+back, c.cfg.OverShareTargetFraction)
+// overShareFraction returns the fraction of the target that requests of teams above their
+// share may wait. It decreases with refusals of teams within their share and recovers
+// without them (additive increase, multiplicative decrease). Spare capacity can't be
+// determined from the queues alone, because large teams fill every gap at once.
+func (c *Core) overShareFraction(now time.Duration) float64 {
+	recovered := (now - c.overShareUpdatedAt).Seconds() * c.cfg.OverShareRecovery
+	return min(c.lastOverShareFraction+recovered, c.cfg.OverShareTargetFraction)
 }
 
-// yieldShare makes teams above their share give way after a refusal of one
-// within it.
-func (c *Core) yieldShare(now time.Duration) {
-	if now-c.overAt < c.cfg.OverShareDecreaseInterval {
+// reduceOverShareFraction limits teams above their share after a refusal of a team within
+// its share.
+func (c *Core) reduceOverShareFraction(now time.Duration) {
+	if now-c.overShareUpdatedAt < c.cfg.OverShareDecreaseInterval {
 		return
 	}
-	c.overLeft = c.overUse(now) * (1 - c.cfg.OverShareDecrease)
-	c.overAt = now
+	c.lastOverShareFraction = c.overShareFraction(now) * (1 - c.cfg.OverShareDecrease)
+	c.overShareUpdatedAt = now
 }
 
-// admit decides whether a request that would wait so long is taken. One that
-// would miss its target is refused at once, while its caller can still go
-// elsewhere or come back. A prompt that takes most of the target by itself is
-// judged by its wait alone: no waiting makes it shorter.
-func (c *Core) admit(now time.Duration, j *job, ch choice) bool {
-	if j.over() && c.teams.tooMuch(now, j.Team) {
+// admit reports whether a request is accepted for a candidate. A request that would miss
+// its target is refused at once, while its caller can still go elsewhere or retry. If the
+// prefill takes most of the target, only the wait is limited, because waiting less does
+// not shorten the prefill.
+func (c *Core) admit(now time.Duration, j *job, candidate choice) bool {
+	if j.overShare() && c.teams.exceedsMaxUsage(now, j.Team) {
 		return false
 	}
-	if j.waited > 0 && ch.first-ch.wait > j.Target {
-		return ch.wait <= c.lateWait(j) && ch.first < j.Timeout
+	if j.sinceFirstAttempt > 0 && candidate.firstByte-candidate.wait > j.Target {
+		return candidate.wait <= c.maxLateBacklog(j) && candidate.firstByte < j.Timeout
 	}
-	use := c.cfg.TargetFraction
-	if j.over() {
-		use = c.overUse(now)
+	fraction := c.cfg.TargetFraction
+	if j.overShare() {
+		fraction = c.overShareFraction(now)
 	}
-	limit := time.Duration(use * float64(j.Target))
-	cost := ch.first - ch.wait
+	limit := time.Duration(fraction * float64(j.Target))
+	cost := candidate.firstByte - candidate.wait
 	if cost > limit/2 {
-		return ch.wait <= limit/2 && ch.first < j.Timeout
+		return candidate.wait <= limit/2 && candidate.firstByte < j.Timeout
 	}
-	return ch.first <= limit
+	return candidate.firstByte <= limit
 }
 
-// lateWait is how much unread work an engine may have to take a request that will
-// be late: what it is given ahead, as a team that is within its share is owed the
-// service, after those that can be in time; a third of it for teams above theirs,
-// which take what is spare.
-func (c *Core) lateWait(j *job) time.Duration {
-	if j.over() {
+// maxLateBacklog returns the maximum wait at an engine for a request that will be late:
+// the backlog window for a team within its share, which is entitled to the capacity after
+// requests that can still be in time, and a third of it for teams above their share, which
+// only get spare capacity.
+func (c *Core) maxLateBacklog(j *job) time.Duration {
+	if j.overShare() {
 		return c.cfg.BacklogWindow / 3
 	}
 	return c.cfg.BacklogWindow
 }
 
-// minRetryAfter keeps callers from asking in a tight loop.
+// minRetryAfter keeps callers from retrying in a tight loop.
 const minRetryAfter = 100 * time.Millisecond
 
-func (c *Core) refuse(now time.Duration, j *job, ch choice) {
-	c.teams.refusedAt = now
-	c.teams.refused(now, j.Team)
+func (c *Core) refuse(now time.Duration, j *job, candidate choice) {
+	c.teams.lastRefusalAt = now
+	c.teams.recordRefusal(now, j.Team)
 	c.counts.Refused++
 	switch {
-	case j.over():
+	case j.overShare():
 		c.counts.RefusedOverShare++
-	case j.waited == 0 || !j.late(now):
-		c.yieldShare(now)
+	case j.sinceFirstAttempt == 0 || !j.late(now):
+		c.reduceOverShareFraction(now)
 	}
 	if f, ok := FingerprintOf(&j.Request); ok {
-		c.returns.note(now, f, refusedOnce{at: j.askedAt - j.waited, deadline: j.askedAt + j.Timeout})
+		c.refusals.record(now, f, refusedRequest{firstAttemptAt: j.submittedAt - j.sinceFirstAttempt, deadlineAt: j.submittedAt + j.Timeout})
 	}
 	delete(c.jobs, j.Ticket)
-	after := max(ch.first-max(j.Target, 0)/2, minRetryAfter)
-	c.out = append(c.out, Decision{
-		Ticket: j.Ticket, Verdict: Refuse, RetryAfter: after, PredictedFirstByte: ch.first, SinceFirstAttempt: j.waited, OverShare: j.over(), Details: c.basis(now, j, ch.u),
+	retryAfter := max(candidate.firstByte-max(j.Target, 0)/2, minRetryAfter)
+	c.decisions = append(c.decisions, Decision{
+		Ticket: j.Ticket, Verdict: Refuse, RetryAfter: retryAfter, PredictedFirstByte: candidate.firstByte, SinceFirstAttempt: j.sinceFirstAttempt, OverShare: j.overShare(), Details: c.refusalDetails(now, j, candidate.u),
 		Allowance: c.teams.allowance(now, j.Ticket.Router, j.Team),
 	})
 }
 
-// basis notes what a refusal rests on.
-func (c *Core) basis(now time.Duration, j *job, u *upstream) RefusalDetails {
-	b := RefusalDetails{ID: j.ID, Team: j.Team, Served: c.teams.served(j.Team)}
-	if !math.IsInf(c.teams.level, 1) {
-		b.Share = c.teams.level
+// refusalDetails returns the state on which a refusal is based.
+func (c *Core) refusalDetails(now time.Duration, j *job, u *upstream) RefusalDetails {
+	details := RefusalDetails{ID: j.ID, Team: j.Team, Served: c.teams.teamUsage(j.Team)}
+	if !math.IsInf(c.teams.fairShare, 1) {
+		details.Share = c.teams.fairShare
 	}
 	for _, member := range c.upstreams {
 		if member.warming(now) {
-			b.Warming++
+			details.Warming++
 		}
 	}
 	if u != nil {
-		b.Upstream, b.Backlog = u.ID, u.remaining(now)
-		b.Waiting, b.Running = len(u.queue), u.running
+		details.Upstream, details.Backlog = u.ID, u.backlog(now)
+		details.Waiting, details.Running = len(u.queue), u.running
 	}
-	return b
+	return details
 }
--- a/dispatch/allowance.go
+++ b/dispatch/allowance.go
@@ -5,42 +5,46 @@
 	"time"
 )
 
-// A team's home tells each router that asks for the team how much it may ask for, so that
-// the router refuses the rest without asking.
+// The home of a team's requests returns an allowance to each router: the rate at which the
+// router may request tokens for the team. The router refuses the rest without asking the
+// home.
 //
-// Callers of one team often meet one router. If that throttles by what was refused of
-// late, it can't tell a team that has had its share from one whose answers came late: a
-// router under 3,700 requests a second asked for nothing for a second while the team was
-// within its share, and the team got 0.28 to 0.34 of another's tokens over six seconds.
-// What a home allows follows the share alone. Bound: a team that asks for more than its
-// share through routers that keep up is asked for at askMore times the fair rate at the
-// least, whatever was refused before, and so gets leastRate of it.
+// Callers of one team often use the same router. If a router throttles by its recent
+// refusals, it can't distinguish a team that has used its share from one whose replies
+// were late: a router with 3,700 requests per second submitted nothing for a second while
+// the team was within its share, and the team got 0.28 to 0.34 of another's tokens over
+// six seconds. Allowances depend on the share alone. Bound: a team with more demand than
+// its share, at routers that are not overloaded, may request at least allowanceFactor
+// times the fair rate, whatever was refused before, and so gets at least minFairRate of
+// it.
 const (
-	// askMore is how many times a team's rate routers may ask for: what a team may get
-	// more shows within a second, as the rate then doubles, and a flood of ten times its
-	// share costs a fifth of its questions.
-	askMore = 2
-	// leastPart is the part of a team's rate that a router gets that has just begun to
-	// ask for it, or an even division among those that ask if that is less: hundreds of
-	// routers would else ask for several times the team's rate.
-	leastPart = 0.02
-	// sparePart is the part of an even division of the group's engines that a team may
-	// always ask for, though it got its share elsewhere: engines may have time to spare.
-	sparePart = 0.1
+	// allowanceFactor is the ratio of the allowance to the team's rate. A team that may
+	// get more shows it within a second, because the rate then doubles; a flood of ten
+	// times a team's share submits a fifth of its requests.
+	allowanceFactor = 2
+	// minRouterFraction is the fraction of a team's rate for a router that has just
+	// started to send requests for it, or an even division among the team's routers if
+	// that is less. Otherwise hundreds of routers could request several times the team's
+	// rate.
+	minRouterFraction = 0.02
+	// spareFraction is the fraction of the group share that a team may always request,
+	// even if it got its share elsewhere, because engines may be idle.
+	spareFraction = 0.1
 )
 
 // Unlimited is an allowance without a bound.
 var Unlimited = math.Inf(1)
 
-// allowance is what a router may ask for a team, in tokens a second.
+// allowance returns the rate at which a router may request for a team, in tokens per
+// second.
 func (s *shares) allowance(now time.Duration, router uint64, team string) float64 {
 	s.refresh(now)
 	a := s.account(now, team)
-	due := max(s.level-a.elsewhere.Window, 0)
-	if a.asked <= due {
+	due := max(s.fairShare-a.remote.Window, 0)
+	if a.requested <= due {
 		return Unlimited
 	}
-	fair := max(due, sparePart*s.even) / s.window.Seconds()
-	rate := askMore * max(fair, a.lately/rateWindow.Seconds())
-	return rate * max(a.partOf(now, s.window, router), min(leastPart, 1/float64(a.routers.count())))
+	fair := max(due, spareFraction*s.groupShare) / s.window.Seconds()
+	rate := allowanceFactor * max(fair, a.recent/rateWindow.Seconds())
+	return rate * max(a.routerFraction(now, s.window, router), min(minRouterFraction, 1/float64(a.routers.count())))
 }
--- a/dispatch/average.go
+++ b/dispatch/average.go
@@ -5,23 +5,22 @@
 	"time"
 )
 
-// average is a mean of observations that lose their weight with time. An upstream
-// that gets no work for its bad average so gets back to the usual one: without the
-// decay one that was unlucky a few times stays out of use, and at a service with
-// four upstreams a fifth of all answers came late while half of the slots were
-// idle.
+// average is a mean of observations whose weight decays with time. The decay brings an
+// upstream that gets no requests because of a bad average back to the group's mean.
+// Without it, an upstream with a few failures by chance stayed out of use: at a service
+// with four upstreams a fifth of all answers were late while half of the slots were idle.
 type average struct {
 	sum, weight float64
-	at          time.Duration
+	updatedAt   time.Duration
 }
 
 const (
-	// averageSpan is the time in which an observation loses most of its weight. It
-	// answers upstreams that turn bad for some seconds.
-	averageSpan = 3 * time.Second
-	// averagePrior is how many observations at the usual value an average begins
-	// with, so that a few failures by chance move it little.
-	averagePrior = 20
+	// averageWindow is the time constant of the decay. It is chosen for upstreams that
+	// fail for some seconds.
+	averageWindow = 3 * time.Second
+	// averagePriorWeight is the number of observations at the prior value with which an
+	// average starts, so that a few failures by chance change it little.
+	averagePriorWeight = 20
 )
 
 func (a *average) add(now time.Duration, x float64) {
@@ -31,48 +30,48 @@
 }
 
 func (a *average) decay(now time.Duration) {
-	if now <= a.at {
+	if now <= a.updatedAt {
 		return
 	}
-	f := math.Exp(-float64(now-a.at) / float64(averageSpan))
-	a.sum *= f
-	a.weight *= f
-	a.at = now
+	factor := math.Exp(-float64(now-a.updatedAt) / float64(averageWindow))
+	a.sum *= factor
+	a.weight *= factor
+	a.updatedAt = now
 }
 
-// value is the average, drawn to the usual value where little was observed lately.
-func (a *average) value(now time.Duration, usual float64) float64 {
+// value returns the average, pulled towards prior if there are few recent observations.
+func (a *average) value(now time.Duration, prior float64) float64 {
 	a.decay(now)
-	return (a.sum + averagePrior*usual) / (a.weight + averagePrior)
+	return (a.sum + averagePriorWeight*prior) / (a.weight + averagePriorWeight)
 }
 
-// usual are the averages over the upstreams of a group.
-type usual struct {
-	at time.Duration
-	// failing is the part of the requests that fail.
-	failing float64
-	// serviceTime is how long a plain service takes, in milliseconds.
+// averages are means over the upstreams of a group.
+type averages struct {
+	updatedAt time.Duration
+	// meanFailureRate is the fraction of failed requests.
+	meanFailureRate float64
+	// serviceTime is the mean service time of a plain service in milliseconds.
 	serviceTime float64
 }
 
-// usualEvery is how often the group's averages are reckoned anew: they change over
-// averageSpan.
-const usualEvery = 50 * time.Millisecond
+// averagesUpdateInterval is the time between updates of the group's averages, which change
+// over averageWindow.
+const averagesUpdateInterval = 50 * time.Millisecond
 
-// usualOf returns the group's averages.
-func (c *Core) usualOf(now time.Duration) *usual {
-	if now-c.usual.at < usualEvery && c.usual.at != 0 {
-		return &c.usual
+// currentAverages returns the group's averages.
+func (c *Core) currentAverages(now time.Duration) *averages {
+	if now-c.averages.updatedAt < averagesUpdateInterval && c.averages.updatedAt != 0 {
+		return &c.averages
 	}
-	c.usual.at = now
-	var failed, took average
+	c.averages.updatedAt = now
+	var failureRate, service average
 	for _, u := range c.upstreams {
-		failed.merge(now, &u.failed)
-		took.merge(now, &u.served)
+		failureRate.merge(now, &u.failureRate)
+		service.merge(now, &u.serviceMs)
 	}
-	c.usual.failing = failed.mean(0)
-	c.usual.serviceTime = took.mean(plainTime)
-	return &c.usual
+	c.averages.meanFailureRate = failureRate.mean(0)
+	c.averages.serviceTime = service.mean(defaultServiceMs)
+	return &c.averages
 }
 
 func (a *average) merge(now time.Duration, b *average) {
@@ -81,10 +80,11 @@
 	a.weight += b.weight
 }
 
-// mean is the plain average, or what is given if next to nothing was observed.
-func (a *average) mean(without float64) float64 {
+// mean returns the mean without a prior, or fallback if there is less than one
+// observation.
+func (a *average) mean(fallback float64) float64 {
 	if a.weight < 1 {
-		return without
+		return fallback
 	}
 	return a.sum / a.weight
 }
--- a/dispatch/cache.go
+++ b/dispatch/cache.go
@@ -5,27 +5,28 @@
 	"time"
 )
 
-// cache models which prompt parts an engine keeps. Parts yield least recently
-// used first, as they do in the engine.
+// cache models the prompt parts in an engine's prefix cache. Eviction is least recently
+// used first, as in the engine.
 type cache struct {
 	entries map[uint64]*list.Element
-	// order has the most recently used entry first.
-	order  list.List
+	// lru has the most recently used entry first.
+	lru    list.List
 	tokens int
 }
 
-type cached struct {
+type cacheEntry struct {
 	id     uint64
 	tokens int
-	// reader is the request that is reading the part now, nil once it is there.
-	reader *job
+	// prefiller is the job whose prefill computes the part, or nil once the part is
+	// cached.
+	prefiller *job
 }
 
 func newCache() *cache { return &cache{entries: map[uint64]*list.Element{}} }
 
-// kept is how many tokens of a prompt's start are cached: a part is only of use
-// if all parts before it are kept too.
-func (c *cache) kept(parts []Part) int {
+// cachedPrefix returns the number of tokens in the longest cached prefix of a prompt. A
+// cached part is only usable if all parts before it are cached.
+func (c *cache) cachedPrefix(parts []Part) int {
 	tokens := 0
 	for _, p := range parts {
 		if _, found := c.entries[p.ID]; !found {
@@ -36,51 +37,51 @@
 	return tokens
 }
 
-// beingRead reports whether another request is just reading a part of this
-// prompt that is worth waiting for.
+// prefillInProgress reports whether another job is prefilling a part of this prompt that
+// is worth waiting for.
 //
-// An engine looks a prompt up when it admits it, and a part counts as kept only
-// once it has been read. A second request of the same session that is sent
-// meanwhile would read the part again.
+// An engine looks up a prompt on admission, and a part counts as cached only after its
+// prefill. A second request of the same session that is sent earlier would compute the
+// part again.
 //
-// A reader that is overdue isn't waited for: its engine may be hung, and all
-// requests of the session would wait for it until their targets have passed.
-func (c *cache) beingRead(now time.Duration, parts []Part, least int) bool {
+// An overdue prefill isn't waited for: its engine may be hung, and all requests of the
+// session would wait until they miss their targets.
+func (c *cache) prefillInProgress(now time.Duration, parts []Part, minTokens int) bool {
 	for _, p := range parts {
 		e, found := c.entries[p.ID]
 		if !found {
 			return false
 		}
-		reader := e.Value.(*cached).reader
-		if reader != nil && p.Tokens >= least && now < reader.readBy {
+		prefiller := e.Value.(*cacheEntry).prefiller
+		if prefiller != nil && p.Tokens >= minTokens && now < prefiller.prefillDeadline {
 			return true
 		}
 	}
 	return false
 }
 
-// done notes that a request has been read.
-func (c *cache) done(j *job) {
+// prefillDone marks the parts that a job prefilled as cached.
+func (c *cache) prefillDone(j *job) {
 	for _, p := range j.Parts {
-		if e, found := c.entries[p.ID]; found && e.Value.(*cached).reader == j {
-			e.Value.(*cached).reader = nil
+		if e, found := c.entries[p.ID]; found && e.Value.(*cacheEntry).prefiller == j {
+			e.Value.(*cacheEntry).prefiller = nil
 		}
 	}
 }
 
-// read notes that a request reads its prompt and makes room within capacity.
-func (c *cache) read(j *job, parts []Part, capacity int) {
+// insert adds the parts of a prompt and evicts others to stay within capacity, in tokens.
+func (c *cache) insert(j *job, parts []Part, capacity int) {
 	for _, p := range parts {
 		if e, found := c.entries[p.ID]; found {
-			c.order.MoveToFront(e)
+			c.lru.MoveToFront(e)
 			continue
 		}
-		c.entries[p.ID] = c.order.PushFront(&cached{id: p.ID, tokens: p.Tokens, reader: j})
+		c.entries[p.ID] = c.lru.PushFront(&cacheEntry{id: p.ID, tokens: p.Tokens, prefiller: j})
 		c.tokens += p.Tokens
 	}
-	for c.tokens > capacity && c.order.Len() > 0 {
-		last := c.order.Back()
-		e := c.order.Remove(last).(*cached)
+	for c.tokens > capacity && c.lru.Len() > 0 {
+		last := c.lru.Back()
+		e := c.lru.Remove(last).(*cacheEntry)
 		delete(c.entries, e.id)
 		c.tokens -= e.tokens
 	}
--- a/dispatch/choose.go
+++ b/dispatch/choose.go
@@ -2,38 +2,39 @@
 
 import "time"
 
-// choice is a possible upstream of a job.
+// choice is a candidate upstream for a job.
 type choice struct {
 	u *upstream
-	// first is the predicted time to the first byte; wait the part of it before
-	// the upstream begins.
-	first, wait time.Duration
-	score       time.Duration
-	plan        plan
+	// firstByte is the predicted time to first byte, and wait the part of it before the
+	// upstream starts on the job.
+	firstByte, wait time.Duration
+	score           time.Duration
+	plan            prefillPlan
 	// admitted is set if the request would be in time.
 	admitted bool
-	// away is set if much of the prompt is cached elsewhere.
-	away bool
+	// cachedElsewhere is set if the cost exceeds the lowest cost of any upstream by more
+	// than MaxRecompute, because parts of the prompt are cached there.
+	cachedElsewhere bool
 }
 
-// better reports whether a is the better choice: the least score. A request that
-// would be late where its parts are cached goes elsewhere if few of them must be
-// read again; if many, it is refused, since reading them again takes the time of
-// several other requests and pushes out their parts.
+// better reports whether a is the better choice, which is the one with the lower score. A
+// request that would be late where its parts are cached goes to another upstream if little
+// prefill is repeated there. Otherwise it is refused, because the repeated prefill takes
+// the time of several other requests and evicts their cached parts.
 func better(a, b choice) bool {
-	if a.admitted != b.admitted && !a.away && !b.away {
+	if a.admitted != b.admitted && !a.cachedElsewhere && !b.cachedElsewhere {
 		return a.admitted
 	}
 	return a.score < b.score
 }
 
-// best scores the upstreams.
+// best returns the best eligible upstream, and false if there is none.
 func (c *Core) best(now time.Duration, j *job) (choice, bool) {
-	plans := c.plans(now, j)
-	least := time.Duration(0)
+	plans := c.prefillPlans(now, j)
+	lowestCost := time.Duration(0)
 	for i, p := range plans {
-		if i == 0 || p.cost < least {
-			least = p.cost
+		if i == 0 || p.cost < lowestCost {
+			lowestCost = p.cost
 		}
 	}
 	var found choice
@@ -42,62 +43,62 @@
 		if !c.eligible(now, u, j) {
 			continue
 		}
-		u.touch(now)
-		reread := plans[i].cost - least
-		ch := c.weigh(now, u, j, plans[i].cost, reread)
-		ch.plan = plans[i]
-		ch.admitted = c.admit(now, j, ch)
-		ch.away = reread > c.cfg.MaxRecompute
-		if !ok || better(ch, found) {
-			found, ok = ch, true
+		u.update(now)
+		recompute := plans[i].cost - lowestCost
+		candidate := c.evaluate(now, u, j, plans[i].cost, recompute)
+		candidate.plan = plans[i]
+		candidate.admitted = c.admit(now, j, candidate)
+		candidate.cachedElsewhere = recompute > c.cfg.MaxRecompute
+		if !ok || better(candidate, found) {
+			found, ok = candidate, true
 		}
 	}
 	return found, ok
 }
 
-func (c *Core) weigh(now time.Duration, u *upstream, j *job, cost, reread time.Duration) choice {
-	wait := u.busyFor(now) + c.queued(u, j, cost, now)
+func (c *Core) evaluate(now time.Duration, u *upstream, j *job, cost, recompute time.Duration) choice {
+	wait := u.prefillWait(now) + c.queuedAhead(u, j, cost, now)
 	if !c.cfg.Engine {
-		wait = c.plainWait(u, cost)
-	} else if u.full(j.memory) {
-		wait += slotWait
+		wait = c.serviceSlotWait(u, cost)
+	} else if u.full(j.reservedKV) {
+		wait += fullEngineWait
 	}
-	ch := choice{u: u, wait: wait, first: wait + cost}
-	ch.score = ch.first +
-		time.Duration(c.cfg.RecomputeWeight*float64(reread)) +
-		time.Duration(u.use*float64(c.cfg.LoadPenalty)) +
-		time.Duration(u.failingMore(now, c.usualOf(now))*float64(c.cfg.FailurePenalty)) +
-		time.Duration(u.use*float64(j.Output)*float64(c.cfg.DecodePenalty)) +
+	candidate := choice{u: u, wait: wait, firstByte: wait + cost}
+	candidate.score = candidate.firstByte +
+		time.Duration(c.cfg.RecomputeWeight*float64(recompute)) +
+		time.Duration(u.utilization*float64(c.cfg.LoadPenalty)) +
+		time.Duration(u.excessFailureRate(now, c.currentAverages(now))*float64(c.cfg.FailurePenalty)) +
+		time.Duration(u.utilization*float64(j.Output)*float64(c.cfg.DecodePenalty)) +
 		time.Duration(float64(u.running)/float64(max(u.Slots, 1))*float64(c.cfg.LoadPenalty))
-	return ch
+	return candidate
 }
 
-// slotWait is the wait for a running request to end at a full engine. Streams
-// run for seconds, and dozens run at once.
-const slotWait = 100 * time.Millisecond
+// fullEngineWait is the expected wait for a running request to finish at a full engine.
+// Streams run for seconds, and dozens run concurrently.
+const fullEngineWait = 100 * time.Millisecond
 
-// queued is the work that waits at the upstream and goes before the job; of two
-// that are equal, the one that came first.
-func (c *Core) queued(u *upstream, j *job, cost, now time.Duration) time.Duration {
+// queuedAhead returns the cost of the queued jobs that go before the job. Of two jobs with
+// equal priority, the queued one goes first.
+func (c *Core) queuedAhead(u *upstream, j *job, cost, now time.Duration) time.Duration {
 	if len(u.queue) == 0 {
 		return 0
 	}
 	probe := *j
 	probe.cost = cost
-	sum := time.Duration(0)
+	total := time.Duration(0)
 	for _, q := range u.queue {
 		if !c.before(&probe, q, now) {
-			sum += q.cost
+			total += q.cost
 		}
 	}
-	return sum
+	return total
 }
 
-// plainWait is the wait for a slot of a plain service.
-func (c *Core) plainWait(u *upstream, serviceTime time.Duration) time.Duration {
-	over := u.running + len(u.queue) - u.Slots + 1
-	if over <= 0 {
+// serviceSlotWait returns the expected wait for a slot of a plain service.
+func (c *Core) serviceSlotWait(u *upstream, serviceTime time.Duration) time.Duration {
+	excess := u.running + len(u.queue) - u.Slots + 1
+	if excess <= 0 {
 		return 0
 	}
-	return time.Duration(over) * serviceTime / time.Duration(max(u.Slots, 1))
+	return time.Duration(excess) * serviceTime / time.Duration(max(u.Slots, 1))
 }
--- a/dispatch/completion.go
+++ b/dispatch/completion.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// Started notes that the first byte of an answer came.
+// Started records the first byte of an answer.
 func (c *Core) Started(now time.Duration, t Ticket) []Decision {
 	j := c.jobs[t]
 	if j == nil || j.state == waiting {
 		return nil
 	}
-	j.upstream.started(j, now)
-	c.drainMember(now, j.upstream)
-	return c.take()
+	j.upstream.firstByte(j, now)
+	c.sendQueuedToMember(now, j.upstream)
+	return c.takeDecisions()
 }
 
-// Done notes that a request ended, wherever it was. took is the time from
-// sending to the answer's end.
+// Done records the end of a request, also of one that was never sent. took is the time
+// from sending it to the end of the answer.
 func (c *Core) Done(now time.Duration, t Ticket, o Outcome, took time.Duration) []Decision {
 	c.done(now, t, o, took)
-	return c.take()
+	return c.takeDecisions()
 }
 
 func (c *Core) done(now time.Duration, t Ticket, o Outcome, took time.Duration) {
@@ -35,47 +35,48 @@
 		u.queue = slices.DeleteFunc(u.queue, func(q *job) bool { return q == j })
 		return
 	}
-	if j.state == sent && o.unrun() {
-		c.teams.giveBack(now, j)
+	if j.state == sent && o.notRun() {
+		c.teams.refund(now, j)
 	}
-	u.ended(j, now, o, took)
-	c.drainMember(now, u)
+	u.finish(j, now, o, took)
+	c.sendQueuedToMember(now, u)
 }
 
-// endAll ends the requests that match, in the order of their tickets.
-func (c *Core) endAll(now time.Duration, match func(*job) bool) {
-	var over []Ticket
+// cancelMatching cancels the requests that match, in the order of their tickets.
+func (c *Core) cancelMatching(now time.Duration, match func(*job) bool) {
+	var tickets []Ticket
 	for t, j := range c.jobs {
 		if match(j) {
-			over = append(over, t)
+			tickets = append(tickets, t)
 		}
 	}
-	slices.SortFunc(over, func(a, b Ticket) int {
+	slices.SortFunc(tickets, func(a, b Ticket) int {
 		return cmp.Or(cmp.Compare(a.Router, b.Router), cmp.Compare(a.Seq, b.Seq))
 	})
-	for _, t := range over {
+	for _, t := range tickets {
 		c.done(now, t, Cancelled, 0)
 	}
 }
 
-// sweepEvery is how often expired tickets are looked for: those whose end was
-// lost on the way.
-const sweepEvery = time.Second
+// sweepInterval is the time between sweeps for expired tickets, whose completion report
+// was lost.
+const sweepInterval = time.Second
 
-// Tick sends what has become due and gives up what can't be served any more.
+// Tick sends the requests that have become ready and refuses those that can no longer be
+// served in time.
 func (c *Core) Tick(now time.Duration) []Decision {
 	for _, u := range c.upstreams {
-		c.review(now, u)
-		c.drain(now, u)
+		c.refuseLate(now, u)
+		c.sendQueued(now, u)
 	}
-	if now >= c.sweepAt {
-		c.sweepAt = now + sweepEvery
-		c.endAll(now, func(j *job) bool { return now > j.expires })
+	if now >= c.nextSweepAt {
+		c.nextSweepAt = now + sweepInterval
+		c.cancelMatching(now, func(j *job) bool { return now > j.expiresAt })
 	}
-	return c.take()
+	return c.takeDecisions()
 }
 
-// HasWaiting reports whether any request waits, so that Tick is of use.
+// HasWaiting reports whether any request waits, so that Tick has work to do.
 func (c *Core) HasWaiting() bool {
 	for _, u := range c.upstreams {
 		if len(u.queue) > 0 {
--- a/dispatch/config.go
+++ b/dispatch/config.go
@@ -2,69 +2,73 @@
 
 import "time"
 
-// Config tunes a Core. The defaults of the engines' figures are those of one data sheet; what
-// an engine does differently is learnt as its speed.
+// Config holds the parameters of a Core. The defaults for engines come from one data
+// sheet; deviations of an upstream are measured at run time as its cost factor.
 type Config struct {
-	// Engine is set for model engines, whose cost is in tokens.
+	// Engine is set for model engines, whose cost is counted in tokens.
 	Engine bool
-	// PrefillTokensPerMs is an engine's prefill rate before its speed has been learnt.
+	// PrefillTokensPerMs is an engine's prefill rate before its cost factor has been
+	// measured.
 	PrefillTokensPerMs float64
-	// AttentionPairsPerMs is how many pairs of tokens attention takes in a millisecond. It makes
-	// long prompts dearer.
+	// AttentionPairsPerMs is the number of token pairs that attention processes per
+	// millisecond. It makes long prompts more expensive per token.
 	AttentionPairsPerMs float64
-	// ChunkTokens are prefilled in a step; PrefillStepMs is what a step costs besides.
+	// ChunkTokens is the number of tokens prefilled in one step, and PrefillStepMs the
+	// fixed cost of a step.
 	ChunkTokens   int
 	PrefillStepMs float64
-	// DecodeStepMs is what a token of each stream takes while an engine reads nothing: a
-	// step of the batch.
+	// DecodeStepMs is the time per output token of each stream while the engine prefills
+	// nothing, that is, one step of the batch.
 	DecodeStepMs float64
-	// BacklogWindow is how much unread work an engine is given ahead. Less leaves it
-	// idle for a message's way; more takes the order out of our hands, as the
-	// engine serves first come first served.
+	// BacklogWindow is the backlog up to which an engine is sent more work. A smaller
+	// window leaves the engine idle for the duration of a message; a larger one takes the
+	// order out of the scheduler's hands, because engines serve first come, first served.
 	BacklogWindow time.Duration
-	// RecomputeWeight weighs the work that a placing repeats because the prompt's parts
-	// are cached elsewhere. It costs the fleet's capacity, not only this
-	// request's time, and pushes others' parts out of the cache.
+	// RecomputeWeight weighs the prefill work that a placement repeats because parts of
+	// the prompt are cached on another engine. Repeated work costs the capacity of the
+	// fleet, not only latency of this request, and evicts other cached parts.
 	RecomputeWeight float64
-	// MinCopyTokens is the least number of tokens worth copying from another engine:
-	// below it setting up the copy takes as long as reading.
+	// MinCopyTokens is the minimum number of tokens to copy from another engine. Below it,
+	// setting up the copy takes as long as the prefill.
 	MinCopyTokens int
-	// MinAwaitTokens is the least size of a part, in tokens, for which a request waits
-	// until another has read it.
+	// MinAwaitTokens is the minimum size of a part, in tokens, for which a request waits
+	// until another request has prefilled it.
 	MinAwaitTokens int
-	// LoadPenalty is added for an upstream that has been busy all the time. It sends
-	// new sessions to where there will be room for the sessions' next requests.
+	// LoadPenalty is added to the score of an upstream, times its utilization and its
+	// fraction of used slots. It places new sessions where there will be room for their
+	// next requests.
 	LoadPenalty time.Duration
-	// DecodePenalty is added for each token that a request may generate, times the part of
-	// the time in which the upstream reads prompts. While an engine reads, its
-	// streams are slow, and a long answer may not end before its deadline.
+	// DecodePenalty is added to the score for each token that a request may generate,
+	// times the upstream's utilization. Streams are slow while an engine prefills, and a
+	// long answer may miss its deadline.
 	DecodePenalty time.Duration
-	// TargetFraction is the part of the target that may be predicted to pass before
-	// the first byte; the rest covers the error of the prediction.
+	// TargetFraction is the fraction of the target that the predicted time to first byte
+	// may take. The rest covers the prediction error.
 	TargetFraction float64
-	// OverShareTargetFraction is the same for teams above their share: they take what is spare.
+	// OverShareTargetFraction is the maximum of that fraction for teams above their share,
+	// which only get spare capacity.
 	OverShareTargetFraction float64
-	// OverShareDecrease is the part of that which they lose with each refusal of a
-	// team within its share; OverShareRecovery is what comes back in a second.
+	// OverShareDecrease is the part by which the fraction of teams above their share is
+	// reduced when a request of a team within its share is refused; OverShareRecovery is
+	// added to it per second.
 	OverShareDecrease, OverShareRecovery float64
-	// OverShareDecreaseInterval is the least time between two such losses. A burst in one moment is
-	// one sign of too much, not dozens.
+	// OverShareDecreaseInterval is the minimum time between two such decreases. A burst is
+	// a single sign of overload, however many requests it has.
 	OverShareDecreaseInterval time.Duration
-	// MaxRecompute is the most work that may be repeated to serve a request in time
-	// that would else be refused.
+	// MaxRecompute is the maximum prefill work that may be repeated to serve a request in
+	// time that would otherwise be refused.
 	MaxRecompute time.Duration
-	// MaxKVFraction is the part of the KV cache that running requests may take.
+	// MaxKVFraction is the fraction of the KV cache that running requests may use.
 	MaxKVFraction float64
-	// ShareWindow is the span over which teams' service is averaged.
+	// ShareWindow is the window over which the usage of teams is averaged.
 	ShareWindow time.Duration
-	// FailurePenalty is added, times the rate of failures, to an upstream's time.
+	// FailurePenalty is added to the score of an upstream, times its excess failure rate.
 	FailurePenalty time.Duration
-	// BanMin and BanMax bound how long an upstream that can't be reached gets
-	// no work.
+	// BanMin and BanMax bound how long an unreachable upstream gets no requests.
 	BanMin, BanMax time.Duration
 }
 
-// DefaultConfig returns settings for model engines or for plain services.
+// DefaultConfig returns the configuration for model engines or for plain services.
 func DefaultConfig(engine bool) Config {
 	return Config{
 		Engine:                    engine,
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// Core decides for one group of upstreams. It isn't safe for concurrent use.
+// Core schedules the requests for one group of upstreams. It isn't safe for concurrent
+// use.
 type Core struct {
-	cfg       Config
-	upstreams []*upstream
-	byID      map[string]*upstream
-	jobs      map[Ticket]*job
-	teams     *shares
-	out       []Decision
-	sweepAt   time.Duration
-	// overLeft is overUse at overAt.
-	overLeft float64
-	overAt   time.Duration
-	counts   Counts
-	usual    usual
-	returns  returns
-	yield    yield
+	cfg         Config
+	upstreams   []*upstream
+	byID        map[string]*upstream
+	jobs        map[Ticket]*job
+	teams       *shares
+	decisions   []Decision
+	nextSweepAt time.Duration
+	// lastOverShareFraction is the value of overShareFraction at overShareUpdatedAt.
+	lastOverShareFraction float64
+	overShareUpdatedAt    time.Duration
+	counts                Counts
+	averages              averages
+	refusals              refusalHistory
+	prefillYield          prefillYield
 	// warmUpGranted is set while this core may send to upstreams that are warming up.
 	warmUpGranted bool
 }
@@ -27,18 +28,18 @@
 	return &Core{cfg: cfg, byID: map[string]*upstream{}, jobs: map[Ticket]*job{}, teams: newShares(cfg.ShareWindow)}
 }
 
-// SetCapacity sets what the group's upstreams yield, in tokens a second.
+// SetCapacity sets the throughput of the group's upstreams, in tokens per second.
 func (c *Core) SetCapacity(tokensPerSecond float64) { c.teams.capacity = tokensPerSecond }
 
-// take returns the decisions made since the last call.
-func (c *Core) take() []Decision {
-	out := c.out
-	c.out = nil
+// takeDecisions returns the decisions made since the last call.
+func (c *Core) takeDecisions() []Decision {
+	out := c.decisions
+	c.decisions = nil
 	return out
 }
 
-// Submit decides on a request. Asking again for one that is known changes nothing
-// and repeats the decision: the answer may have been lost.
+// Submit decides on a request. Submitting a pending request again has no effect and
+// repeats the decision, because the reply may have been lost.
 func (c *Core) Submit(now time.Duration, r Request) []Decision {
 	if j := c.jobs[r.Ticket]; j != nil {
 		d := Decision{Ticket: r.Ticket, Verdict: Wait}
@@ -48,70 +49,74 @@
 				d.CopyFrom = j.copyFrom.ID
 			}
 		}
-		c.out = append(c.out, d)
-		return c.take()
+		c.decisions = append(c.decisions, d)
+		return c.takeDecisions()
 	}
 	j := c.newJob(now, r)
-	j.memory = r.Output
-	c.warm(&j.Request)
+	j.reservedKV = r.Output
+	c.applyCacheHint(&j.Request)
 	c.charge(now, j)
-	c.teams.use = c.meanUse(now) / c.teams.known(now, useWindow)
-	j.standing = c.teams.standing(now, r.Team)
+	c.teams.utilization = c.meanUtilization(now) / c.teams.windowCoverage(now, utilizationWindow)
+	j.shareStatus = c.teams.shareStatus(now, r.Team)
 	c.counts.Submitted++
 	c.jobs[r.Ticket] = j
 	c.place(now, j)
-	return c.take()
+	return c.takeDecisions()
 }
 
-// meanUse is the part of the time in which upstreams had unread work.
-func (c *Core) meanUse(now time.Duration) float64 {
-	sum, n := 0.0, 0
+// meanUtilization returns the fraction of time in which the upstreams had a backlog,
+// averaged over those that are not banned.
+func (c *Core) meanUtilization(now time.Duration) float64 {
+	total, n := 0.0, 0
 	for _, u := range c.upstreams {
-		if now < u.banned {
+		if now < u.bannedUntil {
 			continue
 		}
-		u.touch(now)
-		sum += u.use
+		u.update(now)
+		total += u.utilization
 		n++
 	}
-	return sum / float64(max(n, 1))
+	return total / float64(max(n, 1))
 }
 
-// newJob begins a job. The target of a caller that comes back counts from its first
-// attempt.
+// newJob returns a job for the request. The target of a repeated request counts from its
+// first attempt.
 func (c *Core) newJob(now time.Duration, r Request) *job {
-	j := &job{Request: r, askedAt: now, deadlineAt: now + r.Timeout, expires: now + r.Timeout + time.Second}
-	j.waited = c.returns.waited(now, &r)
-	j.Target -= j.waited
+	j := &job{Request: r, submittedAt: now, deadlineAt: now + r.Timeout, expiresAt: now + r.Timeout + time.Second}
+	j.sinceFirstAttempt = c.refusals.sinceFirstAttempt(now, &r)
+	j.Target -= j.sinceFirstAttempt
 	j.targetAt = now + j.Target
 	return j
 }
 
-// generatedWeight is what a generated token counts against one of the prompt, in
-// teams' shares.
-const generatedWeight = 2
+// outputTokenWeight is the cost of an output token relative to a prompt token in a team's
+// share.
+const outputTokenWeight = 2
 
-// ChargedTokens is what a request counts in its team's share.
-func ChargedTokens(r *Request) float64 { return float64(r.Prompt) + generatedWeight*float64(r.Output) }
+// ChargedTokens returns the number of tokens that a request counts against its team's
+// share.
+func ChargedTokens(r *Request) float64 {
+	return float64(r.Prompt) + outputTokenWeight*float64(r.Output)
+}
 
-// charge notes what a request asks for. A team is charged for its whole prompt,
-// cached or not: where its parts are cached is our doing, and a team whose
-// sessions happen to be warm would else take more of what is scarce.
+// charge adds a request to its team's demand. The whole prompt is charged, cached or not:
+// the scheduler decides where parts are cached, and otherwise a team whose sessions happen
+// to be cached would get more of a scarce capacity.
 func (c *Core) charge(now time.Duration, j *job) {
-	kept := 0
+	cached := 0
 	for _, u := range c.upstreams {
-		kept = max(kept, u.cache.kept(j.Parts))
+		cached = max(cached, u.cache.cachedPrefix(j.Parts))
 	}
-	j.tokens = ChargedTokens(&j.Request)
-	j.memory = max(j.Prompt-kept, 0) + j.Output
-	c.teams.ask(now, j.Ticket.Router, j.Team, j.tokens)
+	j.chargedTokens = ChargedTokens(&j.Request)
+	j.reservedKV = max(j.Prompt-cached, 0) + j.Output
+	c.teams.addRequested(now, j.Ticket.Router, j.Team, j.chargedTokens)
 }
 
-// place finds the best upstream and sends, queues or refuses.
+// place chooses the best upstream and then sends, queues or refuses the request.
 func (c *Core) place(now time.Duration, j *job) {
 	best, ok := c.best(now, j)
 	if !ok {
-		c.refuse(now, j, choice{first: max(c.nextWarm(now, j), time.Second)})
+		c.refuse(now, j, choice{firstByte: max(c.timeUntilWarm(now, j), time.Second)})
 		return
 	}
 	if !best.admitted {
@@ -119,29 +124,29 @@
 		return
 	}
 	if c.ready(best.u, j, now) && !c.readyAheadOf(best.u, j, now) {
-		j.cost, j.copyFrom = best.plan.cost, best.plan.from
-		c.send(now, best.u, j, best.first)
+		j.cost, j.copyFrom = best.plan.cost, best.plan.source
+		c.send(now, best.u, j, best.firstByte)
 		return
 	}
 	j.upstream = best.u
-	j.cost, j.copyFrom = best.plan.cost, best.plan.from
+	j.cost, j.copyFrom = best.plan.cost, best.plan.source
 	best.u.queue = append(best.u.queue, j)
-	c.out = append(c.out, Decision{Ticket: j.Ticket, Verdict: Wait, PredictedFirstByte: best.first})
+	c.decisions = append(c.decisions, Decision{Ticket: j.Ticket, Verdict: Wait, PredictedFirstByte: best.firstByte})
 }
 
-func (c *Core) send(now time.Duration, u *upstream, j *job, wait time.Duration) {
+func (c *Core) send(now time.Duration, u *upstream, j *job, predictedFirstByte time.Duration) {
 	warming := u.warming(now)
 	u.warmUp.Take(now)
 	j.warming = warming
-	u.take(j, now)
+	u.assign(j, now)
 	c.counts.Sent++
-	c.teams.serve(now, j.Team, j.tokens)
+	c.teams.addServed(now, j.Team, j.chargedTokens)
 	d := Decision{
-		Ticket: j.Ticket, Verdict: Send, Upstream: u.ID, PredictedFirstByte: wait, SinceFirstAttempt: j.waited, OverShare: j.over(), Warming: warming,
+		Ticket: j.Ticket, Verdict: Send, Upstream: u.ID, PredictedFirstByte: predictedFirstByte, SinceFirstAttempt: j.sinceFirstAttempt, OverShare: j.overShare(), Warming: warming,
 		Allowance: c.teams.allowance(now, j.Ticket.Router, j.Team),
 	}
 	if j.copyFrom != nil {
 		d.CopyFrom = j.copyFrom.ID
 	}
-	c.out = append(c.out, d)
+	c.decisions = append(c.decisions, d)
 }
--- a/dispatch/decaying_sum.go
+++ b/dispatch/decaying_sum.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// decaying is a sum that loses its weight with time.
-type decaying struct {
-	n  float64
-	at time.Duration
+// decayingSum is a sum that decays exponentially with time.
+type decayingSum struct {
+	sum       float64
+	updatedAt time.Duration
 }
 
-// value is the sum at a moment, with a decay over a window.
-func (d *decaying) value(now, window time.Duration) float64 {
-	if now > d.at {
-		d.n *= math.Exp(-float64(now-d.at) / float64(window))
-		d.at = now
+// value returns the sum at now, with a decay over window.
+func (d *decayingSum) value(now, window time.Duration) float64 {
+	if now > d.updatedAt {
+		d.sum *= math.Exp(-float64(now-d.updatedAt) / float64(window))
+		d.updatedAt = now
 	}
-	return d.n
+	return d.sum
 }
 
-func (d *decaying) add(now, window time.Duration, x float64) { d.n = d.value(now, window) + x }
+func (d *decayingSum) add(now, window time.Duration, x float64) { d.sum = d.value(now, window) + x }
--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -1,10 +1,11 @@
-// Package dispatch decides which upstream a request goes to, when, and whether
-// it can be served at all. It is pure: no I/O, no goroutines, the time is an
-// argument.
+// Package dispatch decides whether a request can be served in time, by which upstream, and
+// when it is sent. It is pure: it does no I/O, starts no goroutines and takes the current
+// time as an argument.
 //
-// One router, the home, runs a Core for a group of upstreams and sees every
-// request for them, so its model of an upstream needs no reports: it knows what
-// is unread, what runs and which prompt parts are cached. The routers ask it
-// before they send and tell it of starts and ends. What it decides is advice:
-// whether an upstream may be used at all is checked by the router that sends.
+// One router, the home, runs a Core for each group of upstreams it is responsible for. All
+// requests for the group pass through it, so it tracks the backlog, the running requests
+// and the cached prompt parts of each upstream without load reports. Routers submit
+// requests to the home before they send them, and report first bytes and completions.
+// Decisions are advisory: the router that sends the request checks that the upstream may
+// be used at all.
 package dispatch
--- a/dispatch/fair_share.go
+++ b/dispatch/fair_share.go
@@ -6,31 +6,31 @@
 	"slices"
 )
 
-// demand is what a team asks of the group, and what it got elsewhere.
+// demand is what a team requests from the group, and its usage at other homes.
 type demand struct {
-	asked, elsewhere float64
+	requested, remote float64
 }
 
-// waterLevel is the most that teams may have in all, so that what the group gives to each
-// up to that, and no more than it asks, adds up to the room (max-min fairness over what
-// teams have). It is infinite if all can be given what they ask.
+// maxMinShare returns the largest total usage of a team such that the tokens given by the
+// group, to each team up to this total and its demand, add up to the capacity (max-min
+// fairness over total usage). It is infinite if all demands can be met.
 //
-// As the level rises from 0, a team is given more once the level is above what it got
-// elsewhere, until it has what it asks: the sum is piecewise linear, and the level is
-// found by going over the points where it bends.
-func waterLevel(demands []demand, room float64) float64 {
-	bends := make([]bend, 0, 2*len(demands))
+// As the share rises from 0, a team is given tokens once the share exceeds its remote
+// usage and until its demand is met. The sum is piecewise linear in the share, so the
+// share is found by visiting the breakpoints in order.
+func maxMinShare(demands []demand, capacity float64) float64 {
+	breakpoints := make([]breakpoint, 0, 2*len(demands))
 	for _, d := range demands {
-		bends = append(bends, bend{at: d.elsewhere, slope: 1}, bend{at: d.elsewhere + d.asked, slope: -1})
+		breakpoints = append(breakpoints, breakpoint{at: d.remote, slope: 1}, breakpoint{at: d.remote + d.requested, slope: -1})
 	}
-	slices.SortFunc(bends, func(a, b bend) int {
+	slices.SortFunc(breakpoints, func(a, b breakpoint) int {
 		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.slope, b.slope))
 	})
 	level, given, slope := 0.0, 0.0, 0.0
-	for _, b := range bends {
+	for _, b := range breakpoints {
 		more := slope * (b.at - level)
-		if given+more > room {
-			return level + (room-given)/slope
+		if given+more > capacity {
+			return level + (capacity-given)/slope
 		}
 		given += more
 		level = b.at
@@ -39,5 +39,6 @@
 	return math.Inf(1)
 }
 
-// bend is a level at which the number of teams that are given more changes.
-type bend struct{ at, slope float64 }
+// breakpoint is a share at which the number of teams that are given more tokens changes by
+// slope.
+type breakpoint struct{ at, slope float64 }
--- a/dispatch/fair_share_internal_test.go
+++ b/dispatch/fair_share_internal_test.go
@@ -16,12 +16,12 @@
 		var demands []demand
 		asked := 0.0
 		for range rapid.IntRange(1, 20).Draw(rt, "teams") {
-			d := demand{asked: tokens.Draw(rt, "asked"), elsewhere: tokens.Draw(rt, "elsewhere")}
-			asked += d.asked
+			d := demand{requested: tokens.Draw(rt, "asked"), remote: tokens.Draw(rt, "elsewhere")}
+			asked += d.requested
 			demands = append(demands, d)
 		}
 		room := tokens.Draw(rt, "room") * 10
-		level := waterLevel(demands, room)
+		level := maxMinShare(demands, room)
 		if asked <= room {
 			if !math.IsInf(level, 1) {
 				rt.Fatalf("a level of %f where %f of %f are asked", level, asked, room)
@@ -30,7 +30,7 @@
 		}
 		given := 0.0
 		for _, d := range demands {
-			given += min(d.asked, max(level-d.elsewhere, 0))
+			given += min(d.requested, max(level-d.remote, 0))
 		}
 		if math.Abs(given-room) > 1 {
 			rt.Fatalf("%f given of %f at level %f", given, room, level)
@@ -41,7 +41,7 @@
 // Teams that got nothing elsewhere divide the room alike, but for those that ask for less.
 func TestWaterLevelWithoutOtherGroups(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(waterLevel([]demand{{asked: 10}, {asked: 100}, {asked: 500}}, 100)).To(BeNumerically("~", 45, 1e-9))
-	g.Expect(waterLevel([]demand{{asked: 10}, {asked: 100, elsewhere: 30}, {asked: 500}}, 100)).To(BeNumerically("~", 60, 1e-9))
-	g.Expect(math.IsInf(waterLevel(nil, 0), 1)).To(BeTrue())
+	g.Expect(maxMinShare([]demand{{requested: 10}, {requested: 100}, {requested: 500}}, 100)).To(BeNumerically("~", 45, 1e-9))
+	g.Expect(maxMinShare([]demand{{requested: 10}, {requested: 100, remote: 30}, {requested: 500}}, 100)).To(BeNumerically("~", 60, 1e-9))
+	g.Expect(math.IsInf(maxMinShare(nil, 0), 1)).To(BeTrue())
 }
--- a/dispatch/job.go
+++ b/dispatch/job.go
@@ -7,67 +7,69 @@
 	Request
 	upstream *upstream
 	state    state
-	// copyFrom is where the upstream copies parts from, nil if it doesn't.
+	// copyFrom is the upstream from which cached parts are copied, or nil.
 	copyFrom *upstream
 	// warming is set if the upstream was warming up when the job was sent to it.
 	warming bool
 	sentAt  time.Duration
-	// cost is the predicted time that the upstream works on it alone.
+	// cost is the predicted time that the upstream needs for the job alone, up to its
+	// first byte.
 	cost time.Duration
-	// readBy is when the upstream should have read the prompt at the latest.
-	readBy time.Duration
-	// tokens is what it is charged, in tokens read and twice those generated.
-	tokens float64
-	// memory is the KV cache that it takes while it runs.
-	memory int
-	// targetAt is when the first byte is due; waited is how long before this attempt
-	// the caller made its first.
-	targetAt time.Duration
-	askedAt  time.Duration
-	waited   time.Duration
-	expires  time.Duration
-	standing standing
-	// deadlineAt is when the caller gives up; givenAt what the engine had given its
-	// streams when this answer began.
-	deadlineAt time.Duration
-	givenAt    float64
+	// prefillDeadline is the time after which the prefill is overdue.
+	prefillDeadline time.Duration
+	// chargedTokens is the charge against the team's share, see ChargedTokens.
+	chargedTokens float64
+	// reservedKV is the number of KV cache tokens that the job needs while it runs.
+	reservedKV int
+	// targetAt is when the first byte is due; sinceFirstAttempt is the time between the
+	// caller's first attempt and this one.
+	targetAt          time.Duration
+	submittedAt       time.Duration
+	sinceFirstAttempt time.Duration
+	expiresAt         time.Duration
+	shareStatus       shareStatus
+	// deadlineAt is when the caller gives up; decodedAtStart is the engine's count of
+	// decoded tokens when this answer started.
+	deadlineAt     time.Duration
+	decodedAtStart float64
 }
 
 type state uint8
 
 const (
 	waiting state = iota
-	// sent to the upstream, which hasn't answered with a first byte.
+	// sent: the upstream hasn't returned the first byte.
 	sent
-	// started to answer.
+	// started: the first byte was received.
 	started
 )
 
-// before reports whether a goes to an upstream before b: by rank; by how their teams
-// stand; those above their share by who had least of late; then by who must start
-// soonest (earliest deadline first).
+// before reports whether a goes to an upstream before b. The order is by priority, then by
+// share status, then requests that can still meet their target before late ones. Teams
+// above their share are ordered by recent usage, the lowest first. The rest is ordered by
+// the latest possible start (earliest deadline first).
 func (c *Core) before(a, b *job, now time.Duration) bool {
 	if a.Priority != b.Priority {
 		return a.Priority < b.Priority
 	}
-	if a.standing != b.standing {
-		return a.standing < b.standing
+	if a.shareStatus != b.shareStatus {
+		return a.shareStatus < b.shareStatus
 	}
 	if aLate, bLate := a.late(now), b.late(now); aLate != bLate {
 		return bLate
 	}
-	if a.standing == over && a.Team != b.Team {
-		return c.teams.lately(now, a.Team) < c.teams.lately(now, b.Team)
+	if a.shareStatus == overFleetShare && a.Team != b.Team {
+		return c.teams.recentUsage(now, a.Team) < c.teams.recentUsage(now, b.Team)
 	}
 	return a.targetAt-a.cost < b.targetAt-b.cost
 }
 
-// over reports whether the job's team had its share when it came.
-func (j *job) over() bool { return j.standing == over }
+// overShare reports whether the job's team was above its share when the job was submitted.
+func (j *job) overShare() bool { return j.shareStatus == overFleetShare }
 
-// late reports whether a job will miss its target for sure.
+// late reports whether a job will certainly miss its target.
 func (j *job) late(now time.Duration) bool {
-	if j.waited > 0 {
+	if j.sinceFirstAttempt > 0 {
 		return now+j.cost > j.targetAt
 	}
 	return now > j.targetAt
--- a/dispatch/ledger.go
+++ b/dispatch/ledger.go
@@ -2,83 +2,85 @@
 
 import "time"
 
-// Ledger adds up what teams got from all homes of the fleet, as each home tells it.
+// Ledger aggregates the usage of teams from the reports of all homes of the fleet.
 //
-// Users compare teams over the whole fleet, and a home sees only its own engines. What a
-// team got elsewhere can't come from the routers that ask: one of hundreds asks a home
-// less than once a second, and homes believed a third of what a team got whose callers
-// meet all routers, but all of what a team got behind one. Homes know what they gave,
-// whoever asked; so what they believe of a team is as old as their last word, however
-// many routers it comes through.
+// Users compare teams over the whole fleet, while a home only sees its own engines. The
+// usage at other homes can't come from the routers that submit requests: one of hundreds
+// of routers submits to a given home less than once a second, and homes counted only a
+// third of the usage of a team spread over all routers, but all of the usage of a team
+// behind one router. Homes have exact figures for what they served, whichever router
+// submitted it; so the age of a team's usage is the time since the last report, however
+// many routers the team uses.
 //
-// A home that falls silent is counted until its sums have decayed: what its teams got
-// isn't forgotten when another one takes over. A Ledger isn't safe for concurrent use.
+// The usage at a home that stops reporting counts until it has decayed, so that it isn't
+// lost when another home takes over. A Ledger isn't safe for concurrent use.
 type Ledger struct {
-	window time.Duration
-	teams  map[string]map[uint64]told
-	// since is when homes began to tell, heardAt when one told last.
-	since, heardAt time.Duration
+	window  time.Duration
+	reports map[string]map[uint64]remoteReport
+	// reportingSince is when the current sequence of reports began, and lastReportAt when
+	// the last one was received.
+	reportingSince, lastReportAt time.Duration
 }
 
-// NewLedger returns an empty ledger over the window of teams' shares.
+// NewLedger returns an empty ledger for the given share window.
 func NewLedger(window time.Duration) *Ledger {
-	return &Ledger{window: window, teams: map[string]map[uint64]told{}}
+	return &Ledger{window: window, reports: map[string]map[uint64]remoteReport{}}
 }
 
-// mostLedgerTeams bounds the memory, at some 100 bytes a team and home. Above it all are
-// forgotten; homes tell them again.
-const mostLedgerTeams = 4096
+// maxLedgerTeams bounds the memory, at about 100 bytes per team and home. When it is
+// exceeded, all entries are dropped; homes report them again.
+const maxLedgerTeams = 4096
 
-// ledgerSettles is the time in which each home tells at least once. It is also the
-// silence after which a ledger begins anew.
-const ledgerSettles = 900 * time.Millisecond
+// ledgerSettleTime is the time within which each home reports at least once. After a gap
+// of this length the ledger has to settle again.
+const ledgerSettleTime = 900 * time.Millisecond
 
-// Record replaces what a home told before that a team got from it.
-func (l *Ledger) Record(now time.Duration, home uint64, team string, got Usage) {
-	if now-l.heardAt > ledgerSettles || l.heardAt == 0 {
-		l.since = now
+// Record replaces the previously reported usage of a team at a home.
+func (l *Ledger) Record(now time.Duration, home uint64, team string, usage Usage) {
+	if now-l.lastReportAt > ledgerSettleTime || l.lastReportAt == 0 {
+		l.reportingSince = now
 	}
-	l.heardAt = now
-	homes := l.teams[team]
+	l.lastReportAt = now
+	homes := l.reports[team]
 	if homes == nil {
-		if len(l.teams) >= mostLedgerTeams {
-			clear(l.teams)
+		if len(l.reports) >= maxLedgerTeams {
+			clear(l.reports)
 		}
-		homes = map[uint64]told{}
-		l.teams[team] = homes
+		homes = map[uint64]remoteReport{}
+		l.reports[team] = homes
 	}
-	homes[home] = told{got: got, at: now}
+	homes[home] = remoteReport{usage: usage, receivedAt: now}
 }
 
-// RemoteUsage is what a team got from all homes but one. ok is unset while the ledger is so new
-// that some homes may not have told yet: their teams would look as if they had got nothing
-// there, and homes had better go on with what they were told before.
-func (l *Ledger) RemoteUsage(now time.Duration, home uint64, team string) (got Usage, ok bool) {
-	if now-l.since < ledgerSettles {
+// RemoteUsage returns a team's usage at all homes but one. ok is false until all homes
+// have had time to report: before that, usage at the missing homes would count as zero,
+// and the caller should keep the previous values.
+func (l *Ledger) RemoteUsage(now time.Duration, home uint64, team string) (usage Usage, ok bool) {
+	if now-l.reportingSince < ledgerSettleTime {
 		return Usage{}, false
 	}
-	var windows, lately []float64
-	for id, t := range l.teams[team] {
+	var windows, recents []float64
+	for id, report := range l.reports[team] {
 		if id == home {
 			continue
 		}
-		got := t.value(now, l.window)
-		windows = append(windows, got.Window)
-		lately = append(lately, got.Recent)
+		usage := report.estimate(now, l.window)
+		windows = append(windows, usage.Window)
+		recents = append(recents, usage.Recent)
 	}
-	return Usage{Window: sum(windows), Recent: sum(lately)}, true
+	return Usage{Window: sortedSum(windows), Recent: sortedSum(recents)}, true
 }
 
-// Sweep forgets what has decayed.
+// Sweep removes usage that has decayed.
 func (l *Ledger) Sweep(now time.Duration) {
-	for team, homes := range l.teams {
-		for id, t := range homes {
-			if t.value(now, l.window).Window < idleAccount {
+	for team, homes := range l.reports {
+		for id, report := range homes {
+			if report.estimate(now, l.window).Window < minAccountTokens {
 				delete(homes, id)
 			}
 		}
 		if len(homes) == 0 {
-			delete(l.teams, team)
+			delete(l.reports, team)
 		}
 	}
 }
--- a/dispatch/members.go
+++ b/dispatch/members.go
@@ -2,43 +2,43 @@
 
 import "time"
 
-// GrantWarmUp sets whether this core may send requests to upstreams that are warming up. Only
-// the home of their group may, as their rate is bounded over all routers together.
+// GrantWarmUp sets whether this core may send requests to upstreams that are warming up.
+// Only the home of their group may, because the rate is bounded over all routers together.
 func (c *Core) GrantWarmUp(granted bool) { c.warmUpGranted = granted }
 
-// SetMembers replaces the group's upstreams. What waits for one that has gone
-// is placed anew.
+// SetMembers replaces the upstreams of the group. Requests queued for a removed upstream
+// are placed again.
 //
-// One that has started again under its ID is a new upstream: what was believed of its
-// caches, its unread and running work, its speed and its failures ends. Else requests
-// would go where nothing of theirs is kept any more, and wait behind work that nobody
-// does. Ends of the earlier start's requests that come late count there.
+// An upstream that restarted under the same ID is a new upstream: its cache, backlog,
+// running requests, cost factor and failure rate are reset. Otherwise requests would be
+// sent to an upstream that has lost their cached parts, or wait behind work that is no
+// longer running. Late completions of the earlier incarnation are counted there.
 func (c *Core) SetMembers(now time.Duration, members []Member) []Decision {
 	next := make([]*upstream, 0, len(members))
 	byID := make(map[string]*upstream, len(members))
 	for i, m := range members {
 		u := c.byID[m.ID]
 		if u == nil || !u.Same(m.Incarnation) {
-			u = newUpstream(m, &c.cfg, &c.yield)
-			u.useAt = now
+			u = newUpstream(m, &c.cfg, &c.prefillYield)
+			u.updatedAt = now
 		}
 		u.Member, u.order = m, i
 		u.warmUp.Rate = m.WarmUpRate
 		next = append(next, u)
 		byID[m.ID] = u
 	}
-	old := c.upstreams
+	previous := c.upstreams
 	c.upstreams, c.byID = next, byID
-	for _, u := range old {
+	for _, u := range previous {
 		if byID[u.ID] != u || u.warming(now) {
-			c.replaceQueue(now, u)
+			c.requeue(now, u)
 		}
 	}
-	return c.take()
+	return c.takeDecisions()
 }
 
-// replaceQueue places anew what waits for an upstream.
-func (c *Core) replaceQueue(now time.Duration, u *upstream) {
+// requeue places the requests that wait for an upstream again.
+func (c *Core) requeue(now time.Duration, u *upstream) {
 	queue := u.queue
 	u.queue = nil
 	for _, j := range queue {
@@ -47,63 +47,64 @@
 	}
 }
 
-// warm believes the asker about where parts are cached if this core knows
-// nothing of them.
-func (c *Core) warm(r *Request) {
+// applyCacheHint uses the submitting router's cache hint if no cached part of the request
+// is recorded here.
+func (c *Core) applyCacheHint(r *Request) {
 	u := c.byID[r.CacheHint]
 	if u == nil || len(r.Parts) == 0 {
 		return
 	}
-	for _, any := range c.upstreams {
-		if any.cache.kept(r.Parts) > 0 {
+	for _, other := range c.upstreams {
+		if other.cache.cachedPrefix(r.Parts) > 0 {
 			return
 		}
 	}
-	// The last part is this request's own; it isn't there yet.
-	u.cache.read(nil, r.Parts[:len(r.Parts)-1], u.KVTokens)
+	// The last part belongs to this request alone and is not cached yet.
+	u.cache.insert(nil, r.Parts[:len(r.Parts)-1], u.KVTokens)
 }
 
-// drainMember sends what waits for an upstream, unless it has left or started again:
-// nothing waits for it then, and it must not take over what waits for others.
-func (c *Core) drainMember(now time.Duration, u *upstream) {
+// sendQueuedToMember sends the requests that wait for an upstream, unless it was removed
+// or has restarted. Such an upstream has no queue and must not steal requests that wait
+// for others.
+func (c *Core) sendQueuedToMember(now time.Duration, u *upstream) {
 	if c.byID[u.ID] == u {
-		c.drain(now, u)
+		c.sendQueued(now, u)
 	}
 }
 
-// SeedCache takes in what an upstream says that it keeps. A new home knows nothing of
-// the caches; it would take every prompt for unread, refuse what could be served
-// and scatter the sessions.
-func (c *Core) SeedCache(from Incarnation, parts []Part) {
-	u := c.byID[from.ID]
-	if u == nil || !u.Same(from) {
+// SeedCache adds the prompt parts that an upstream reports as cached. Without them a new
+// home would count every prompt as uncached, refuse requests that could be served and
+// spread sessions over the engines.
+func (c *Core) SeedCache(at Incarnation, parts []Part) {
+	u := c.byID[at.ID]
+	if u == nil || !u.Same(at) {
 		return
 	}
 	for i := range parts {
-		u.cache.read(nil, parts[i:i+1], u.KVTokens)
+		u.cache.insert(nil, parts[i:i+1], u.KVTokens)
 	}
 }
 
-// AddInFlight takes in a request that a router sent before this core was its home.
-func (c *Core) AddInFlight(now time.Duration, r Request, at Incarnation, begun bool) {
+// AddInFlight adds a request that a router sent before this core became its home.
+func (c *Core) AddInFlight(now time.Duration, r Request, at Incarnation, hasStarted bool) {
 	u := c.byID[at.ID]
 	if u == nil || !u.Same(at) || c.jobs[r.Ticket] != nil {
 		return
 	}
-	j := &job{Request: r, targetAt: now + r.Target, deadlineAt: now + r.Timeout, expires: now + r.Timeout + time.Second}
-	j.memory = r.Output + max(r.Prompt-u.cache.kept(r.Parts), 0)
+	j := &job{Request: r, targetAt: now + r.Target, deadlineAt: now + r.Timeout, expiresAt: now + r.Timeout + time.Second}
+	j.reservedKV = r.Output + max(r.Prompt-u.cache.cachedPrefix(r.Parts), 0)
 	c.jobs[r.Ticket] = j
-	j.cost = u.cost(&j.Request, u.cache.kept(r.Parts), 0)
-	u.take(j, now)
-	if begun {
-		u.read(j, now)
-		u.pace.begin(j, 0)
+	j.cost = u.cost(&j.Request, u.cache.cachedPrefix(r.Parts), 0)
+	u.assign(j, now)
+	if hasStarted {
+		u.finishPrefill(j, now)
+		u.throttle.addStream(j, 0)
 		j.state = started
 	}
 }
 
-// DropRouter forgets the requests of a router that is gone.
+// DropRouter cancels the requests of a router that has left the fleet.
 func (c *Core) DropRouter(now time.Duration, router uint64) []Decision {
-	c.endAll(now, func(j *job) bool { return j.Ticket.Router == router })
-	return c.take()
+	c.cancelMatching(now, func(j *job) bool { return j.Ticket.Router == router })
+	return c.takeDecisions()
 }
--- a/dispatch/prefill_plan.go
+++ b/dispatch/prefill_plan.go
@@ -2,80 +2,81 @@
 
 import "time"
 
-// plan is how an upstream would come by a prompt: what it keeps, what it copies
-// from another, and how long it then works to the first byte.
-type plan struct {
-	cost time.Duration
-	from *upstream
+// prefillPlan is how an upstream would process a prompt: the upstream from which cached
+// parts are copied, if any, and the resulting time to first byte without waiting.
+type prefillPlan struct {
+	cost   time.Duration
+	source *upstream
 }
 
-// plans makes one for each upstream of the group, in order.
-func (c *Core) plans(now time.Duration, j *job) []plan {
+// prefillPlans returns a plan for each upstream of the group, in order.
+func (c *Core) prefillPlans(now time.Duration, j *job) []prefillPlan {
 	if !c.cfg.Engine {
-		return c.plainPlans(now)
+		return c.servicePlans(now)
 	}
-	kept := make([]int, len(c.upstreams))
+	cached := make([]int, len(c.upstreams))
 	for i, u := range c.upstreams {
-		kept[i] = u.cache.kept(j.Parts)
+		cached[i] = u.cache.cachedPrefix(j.Parts)
 	}
-	donor := c.donor(now, kept)
-	out := make([]plan, len(c.upstreams))
+	source := c.copySource(now, cached)
+	out := make([]prefillPlan, len(c.upstreams))
 	for i, u := range c.upstreams {
-		out[i] = c.plan(u, &j.Request, kept[i], donor, kept)
+		out[i] = c.planPrefill(u, &j.Request, cached[i], source, cached)
 	}
 	return out
 }
 
-// plainPlans are those of a service that keeps nothing.
-func (c *Core) plainPlans(now time.Duration) []plan {
-	out := make([]plan, len(c.upstreams))
+// servicePlans returns the plans for a plain service, which caches nothing.
+func (c *Core) servicePlans(now time.Duration) []prefillPlan {
+	out := make([]prefillPlan, len(c.upstreams))
 	for i, u := range c.upstreams {
-		out[i].cost = u.serviceTime(now, c.usualOf(now))
+		out[i].cost = u.serviceTime(now, c.currentAverages(now))
 	}
 	return out
 }
 
-// planFor makes one for a single upstream.
-func (c *Core) planFor(now time.Duration, u *upstream, j *job) plan {
+// planPrefillOn returns the plan for a single upstream.
+func (c *Core) planPrefillOn(now time.Duration, u *upstream, j *job) prefillPlan {
 	if !c.cfg.Engine {
-		return plan{cost: u.serviceTime(now, c.usualOf(now))}
+		return prefillPlan{cost: u.serviceTime(now, c.currentAverages(now))}
 	}
-	kept := make([]int, len(c.upstreams))
+	cached := make([]int, len(c.upstreams))
 	for i, other := range c.upstreams {
-		kept[i] = other.cache.kept(j.Parts)
+		cached[i] = other.cache.cachedPrefix(j.Parts)
 	}
-	return c.plan(u, &j.Request, u.cache.kept(j.Parts), c.donor(now, kept), kept)
+	return c.planPrefill(u, &j.Request, u.cache.cachedPrefix(j.Parts), c.copySource(now, cached), cached)
 }
 
-// donor is the reachable upstream that keeps most of a prompt, -1 if none does.
-func (c *Core) donor(now time.Duration, kept []int) int {
+// copySource returns the index of the upstream in use with the longest cached prefix, or
+// -1 if none has any of it.
+func (c *Core) copySource(now time.Duration, cached []int) int {
 	best := -1
 	for i, u := range c.upstreams {
-		if now < u.banned || kept[i] == 0 {
+		if now < u.bannedUntil || cached[i] == 0 {
 			continue
 		}
-		if best < 0 || kept[i] > kept[best] {
+		if best < 0 || cached[i] > cached[best] {
 			best = i
 		}
 	}
 	return best
 }
 
-// plan copies from the donor if that is faster than reading.
+// planPrefill returns a plan that copies from source if that is faster than prefill alone.
 //
-// Copying leaves the engine free for others meanwhile. Without it a session is bound to one
-// engine or pays for reading its whole prefix at each move.
-func (c *Core) plan(u *upstream, r *Request, kept, donor int, all []int) plan {
-	p := plan{cost: u.cost(r, kept, 0)}
-	if donor < 0 || u.CopyPerToken <= 0 {
+// Copying leaves the engine free for other prompts. Without it a session is bound to one
+// engine, or its whole prefix is computed again with each move.
+func (c *Core) planPrefill(u *upstream, r *Request, cached, source int, allCached []int) prefillPlan {
+	p := prefillPlan{cost: u.cost(r, cached, 0)}
+	if source < 0 || u.CopyPerToken <= 0 {
 		return p
 	}
-	more := all[donor] - kept
-	if more < c.cfg.MinCopyTokens {
+	copied := allCached[source] - cached
+	if copied < c.cfg.MinCopyTokens {
 		return p
 	}
-	if cost := u.cost(r, kept, more); cost < p.cost {
-		return plan{cost: cost, from: c.upstreams[donor]}
+	if cost := u.cost(r, cached, copied); cost < p.cost {
+		return prefillPlan{cost: cost, source: c.upstreams[source]}
 	}
 	return p
 }
--- a/dispatch/prefill_yield.go
+++ b/dispatch/prefill_yield.go
@@ -2,22 +2,24 @@
 
 import "time"
 
-// yield is what an engine serves for a millisecond of reading, in tokens as teams'
-// shares count them: parts that are kept count too.
-type yield struct{ tokens, ms float64 }
+// prefillYield measures what an engine serves per millisecond of prefill, in tokens as
+// charged to teams' shares. Cached parts count too.
+type prefillYield struct{ tokens, ms float64 }
 
 const (
-	// yieldKeep is the weight of the past: some hundred requests.
-	yieldKeep = 0.99
-	// priorYield and priorMs are what is taken before any request was read.
-	priorYield = 60
-	priorMs    = 1000
+	// yieldDecay is the weight of the past, which averages over about 100 requests.
+	yieldDecay = 0.99
+	// priorTokensPerMs and priorMs are the prior before any prefill was measured.
+	priorTokensPerMs = 60
+	priorMs          = 1000
 )
 
-// add notes a request that was read.
-func (y *yield) add(tokens float64, took time.Duration) {
-	y.tokens = y.tokens*yieldKeep + tokens
-	y.ms = y.ms*yieldKeep + inMillis(took)
+// add records the prefill of a request.
+func (y *prefillYield) add(tokens float64, prefill time.Duration) {
+	y.tokens = y.tokens*yieldDecay + tokens
+	y.ms = y.ms*yieldDecay + milliseconds(prefill)
 }
 
-func (y *yield) perMs() float64 { return (y.tokens + priorYield*priorMs) / (y.ms + priorMs) }
+func (y *prefillYield) tokensPerMs() float64 {
+	return (y.tokens + priorTokensPerMs*priorMs) / (y.ms + priorMs)
+}
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// ready reports whether the upstream takes a job now.
+// ready reports whether the job can be sent to the upstream now.
 func (c *Core) ready(u *upstream, j *job, now time.Duration) bool {
-	if u.full(j.memory) || u.cache.beingRead(now, j.Parts, c.cfg.MinAwaitTokens) {
+	if u.full(j.reservedKV) || u.cache.prefillInProgress(now, j.Parts, c.cfg.MinAwaitTokens) {
 		return false
 	}
 	if !c.cfg.Engine {
 		return true
 	}
-	u.touch(now)
-	return u.busyFor(now) < c.cfg.BacklogWindow
+	u.update(now)
+	return u.prefillWait(now) < c.cfg.BacklogWindow
 }
 
-// readyAheadOf reports whether a waiting job that could go now goes before j.
+// readyAheadOf reports whether a queued job that is ready goes before j.
 func (c *Core) readyAheadOf(u *upstream, j *job, now time.Duration) bool {
 	for _, q := range u.queue {
 		if c.before(q, j, now) && c.ready(u, q, now) {
@@ -27,70 +27,69 @@
 	return false
 }
 
-// drain sends what waits for an upstream, as far as it has room.
-func (c *Core) drain(now time.Duration, u *upstream) {
+// sendQueued sends the queued jobs of an upstream as far as it has room.
+func (c *Core) sendQueued(now time.Duration, u *upstream) {
 	if u.warming(now) {
-		c.replaceQueue(now, u)
+		c.requeue(now, u)
 		return
 	}
 	for {
 		next := c.next(now, u)
 		if next < 0 {
-			c.takeOver(now, u)
+			c.stealQueued(now, u)
 			return
 		}
 		j := u.queue[next]
 		u.queue = slices.Delete(u.queue, next, next+1)
-		// What is cached where has changed while the request waited.
-		p := c.planFor(now, u, j)
-		j.cost, j.copyFrom = p.cost, p.from
+		// The caches may have changed while the request waited.
+		p := c.planPrefillOn(now, u, j)
+		j.cost, j.copyFrom = p.cost, p.source
 		c.send(now, u, j, 0)
 	}
 }
 
-// takeOver sends what waits for other upstreams of a plain service to one that has
-// room. Requests wait for the upstream that looked best when they came; which one
-// is free first can't be told then, and a free slot beside a waiting request is
-// time that its caller waits for nothing.
-func (c *Core) takeOver(now time.Duration, u *upstream) {
-	if c.cfg.Engine || now < u.banned {
+// stealQueued sends jobs queued for other upstreams of a plain service to one with free
+// slots. A request is queued for the upstream that was best when it was submitted. It is
+// not known then which upstream will be free first, and the request should not wait beside
+// a free slot.
+func (c *Core) stealQueued(now time.Duration, u *upstream) {
+	if c.cfg.Engine || now < u.bannedUntil {
 		return
 	}
 	for !u.full(0) {
-		from := c.waitingFor(now, u)
-		if from == nil {
+		victim := c.stealVictim(now, u)
+		if victim == nil {
 			return
 		}
-		j := from.queue[0]
-		from.queue = from.queue[1:]
-		j.cost = u.serviceTime(now, c.usualOf(now))
+		j := victim.queue[0]
+		victim.queue = victim.queue[1:]
+		j.cost = u.serviceTime(now, c.currentAverages(now))
 		c.send(now, u, j, 0)
 	}
 }
 
-// worseBy is how much more an upstream may fail, as a part of its requests, for
-// others' waiting requests to go there. Of those that wait some ten in a hundred
-// would be late; one that fails more loses more than it saves.
-const worseBy = 0.1
+// maxExcessFailureRate is the maximum difference in failure rate between an upstream that
+// steals queued requests and the one it steals from. About 10 in 100 waiting requests
+// would be late, so an upstream that fails more loses more requests than it saves.
+const maxExcessFailureRate = 0.1
 
-// waitingFor is an upstream whose first waiting job should rather go to u, nil if
-// there is none.
-func (c *Core) waitingFor(now time.Duration, u *upstream) *upstream {
-	usual := c.usualOf(now)
-	failing := u.failingMore(now, usual)
+// stealVictim returns the upstream whose first queued job should move to u, or nil.
+func (c *Core) stealVictim(now time.Duration, u *upstream) *upstream {
+	averages := c.currentAverages(now)
+	excess := u.excessFailureRate(now, averages)
 	var found *upstream
-	for _, o := range c.upstreams {
-		if o == u || len(o.queue) == 0 || failing > o.failingMore(now, usual)+worseBy || slices.Contains(o.queue[0].Avoid, u.ID) || !inRegions(o.queue[0].Regions, u.Region) {
+	for _, other := range c.upstreams {
+		if other == u || len(other.queue) == 0 || excess > other.excessFailureRate(now, averages)+maxExcessFailureRate || slices.Contains(other.queue[0].Avoid, u.ID) || !regionAllowed(other.queue[0].Regions, u.Region) {
 			continue
 		}
-		if found == nil || c.before(o.queue[0], found.queue[0], now) {
-			found = o
+		if found == nil || c.before(other.queue[0], found.queue[0], now) {
+			found = other
 		}
 	}
 	return found
 }
 
-// next is the index of the job that goes to the upstream next, -1 if none can.
+// next returns the index of the queued job to send next, or -1 if none is ready.
 func (c *Core) next(now time.Duration, u *upstream) int {
 	next := -1
 	for i, j := range u.queue {
@@ -104,10 +103,9 @@
 	return next
 }
 
-// review refuses waiting jobs that will miss their target after all: jobs that
-// came later and go before them have taken their place. Waiting on would only
-// tell their callers later.
-func (c *Core) review(now time.Duration, u *upstream) {
+// refuseLate refuses queued jobs that will miss their target because jobs submitted later
+// went before them. Keeping them queued would only delay the refusal.
+func (c *Core) refuseLate(now time.Duration, u *upstream) {
 	if len(u.queue) == 0 {
 		return
 	}
@@ -120,17 +118,17 @@
 		}
 		return 0
 	})
-	start := u.busyFor(now)
+	start := u.prefillWait(now)
 	u.queue = slices.DeleteFunc(u.queue, func(j *job) bool {
 		late := now+start > j.targetAt
 		if j.cost < j.Target/2 {
-			late = now+start+j.cost > j.targetAt+lateSlack
+			late = now+start+j.cost > j.targetAt+predictionSlack
 		}
 		if !c.cfg.Engine {
 			late = now > j.targetAt
 		}
 		if late {
-			c.refuse(now, j, choice{u: u, first: j.Target + start})
+			c.refuse(now, j, choice{u: u, firstByte: j.Target + start})
 			return true
 		}
 		start += j.cost
@@ -138,6 +136,6 @@
 	})
 }
 
-// lateSlack is the error of the prediction that is borne before a waiting job
-// is given up: some steps of an engine.
-const lateSlack = 60 * time.Millisecond
+// predictionSlack is the prediction error that is tolerated before a queued job is
+// refused. It covers some steps of an engine.
+const predictionSlack = 60 * time.Millisecond
--- a/dispatch/remote_usage.go
+++ b/dispatch/remote_usage.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// told is what another router told that a team got from its homes.
+// remoteReport is the usage of a team as reported by another router for its homes.
 //
-// A sum that decays from the moment of telling falls behind all that the team is served
-// until the next one: over a second a team's rate would count for a third. So it is taken
-// to stay as told for a while, as if the team were served at the same rate, and decays
-// only when its teller falls silent.
-type told struct {
-	got Usage
-	at  time.Duration
+// A sum that decays from the time of the report falls behind what the team is served until
+// the next one: with reports a second apart, a team's rate would count for a third. The
+// reported usage is therefore held for a while, as if the team were served at a constant
+// rate, and decays only after reports stop.
+type remoteReport struct {
+	usage      Usage
+	receivedAt time.Duration
 }
 
-// toldHolds is how long what was told stays as it is: longer than the longest time
-// between two tellings, so that one may be lost.
-const toldHolds = time.Second
+// reportHoldTime is how long reported usage is held. It is longer than the maximum time
+// between two reports, so that one may be lost.
+const reportHoldTime = time.Second
 
-// value is what the team is taken to have got by now.
-func (t *told) value(now, window time.Duration) Usage {
-	passed := float64(now - t.at - toldHolds)
-	if passed <= 0 {
-		return t.got
+// estimate returns the estimated usage at now.
+func (r *remoteReport) estimate(now, window time.Duration) Usage {
+	sinceHold := float64(now - r.receivedAt - reportHoldTime)
+	if sinceHold <= 0 {
+		return r.usage
 	}
 	return Usage{
-		Window: t.got.Window * math.Exp(-passed/float64(window)),
-		Recent: t.got.Recent * math.Exp(-passed/float64(rateWindow)),
+		Window: r.usage.Window * math.Exp(-sinceHold/float64(window)),
+		Recent: r.usage.Recent * math.Exp(-sinceHold/float64(rateWindow)),
 	}
 }
--- a/dispatch/repeated_requests.go
+++ b/dispatch/repeated_requests.go
@@ -6,40 +6,42 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// returns remembers requests that were refused, so that a caller who comes back is
-// known: its target counts from its first attempt. Without it second attempts,
-// which will be late, take engines and their teams' shares from first ones, which
-// could be in time: at a flood of twelve times a team's usual a third of the
-// answers that it got were late.
-type returns struct {
-	// young and old are refused requests of the present and the last span.
-	young, old map[Fingerprint]refusedOnce
-	turnAt     time.Duration
+// refusalHistory stores refused requests, so that the target of a repeated request counts
+// from its first attempt. Without it, repeated requests, which will be late, take engine
+// time and share from first attempts that could be in time: with a flood of twelve times a
+// team's usual load, a third of its answers were late.
+type refusalHistory struct {
+	// current and previous are the refused requests of the current and the previous span.
+	current, previous map[Fingerprint]refusedRequest
+	rotateAt          time.Duration
 }
 
-// refusedOnce is a request that was refused.
-type refusedOnce struct {
-	// at is when its first attempt came, deadline when its caller gives up.
-	at, deadline time.Duration
+// refusedRequest is a request that was refused.
+type refusedRequest struct {
+	// firstAttemptAt is when the first attempt was submitted, and deadlineAt when the
+	// caller gives up.
+	firstAttemptAt, deadlineAt time.Duration
 }
 
-// Fingerprint names a request over its attempts, which have names of their own. Two
-// requests may have the same; their deadlines tell them apart.
+// Fingerprint identifies a request across its attempts, which have different IDs. Two
+// requests may share a fingerprint; they are distinguished by their deadlines.
 type Fingerprint uint64
 
 const (
-	// returnSpan is the time after which an entry is dropped, once or twice: callers
-	// come back within a third of the longest deadline, 15 s.
-	returnSpan = 5 * time.Second
-	// maxReturns bounds each map: some 40 bytes an entry, at 2,000 refusals a second.
-	maxReturns = 10000
-	// sameDeadline is how far the deadlines of two attempts may differ: the way to the
-	// router and through a busy one.
-	sameDeadline = 150 * time.Millisecond
+	// historySpan is the time after which the maps rotate, so that an entry is dropped
+	// after one to two spans. Callers retry within a third of the longest deadline, which
+	// is 15 s.
+	historySpan = 5 * time.Second
+	// maxHistoryEntries bounds each map. It allows 2,000 refusals per second at about 40
+	// bytes per entry.
+	maxHistoryEntries = 10000
+	// deadlineTolerance is the maximum difference between the deadlines of two attempts.
+	// It covers the latency to the router and within a busy one.
+	deadlineTolerance = 150 * time.Millisecond
 )
 
-// FingerprintOf returns a request's fingerprint; ok is unset for requests without
-// parts, which can't be told apart.
+// FingerprintOf returns a request's fingerprint. ok is false for requests without parts,
+// which can't be distinguished.
 func FingerprintOf(r *Request) (f Fingerprint, ok bool) {
 	if len(r.Parts) == 0 {
 		return 0, false
@@ -50,9 +52,9 @@
 		for i := range raw {
 			raw[i] = byte(n >> (8 * i))
 		}
-		_, _ = h.Write(raw[:]) // a hash can't fail
+		_, _ = h.Write(raw[:]) // a hash write never fails
 	}
-	_, _ = h.WriteString(r.Team) // nor here
+	_, _ = h.WriteString(r.Team)
 	add(uint64(r.Prompt))
 	add(uint64(r.Output))
 	for _, p := range r.Parts {
@@ -61,45 +63,47 @@
 	return Fingerprint(h.Sum64()), true
 }
 
-// waited is how long ago the request's first attempt came, 0 if this is it.
-func (m *returns) waited(now time.Duration, r *Request) time.Duration {
+// sinceFirstAttempt returns the time since the request's first attempt, or 0 if this is
+// the first.
+func (h *refusalHistory) sinceFirstAttempt(now time.Duration, r *Request) time.Duration {
 	f, ok := FingerprintOf(r)
 	if !ok {
 		return 0
 	}
-	e, found := m.young[f]
+	e, found := h.current[f]
 	if !found {
-		e, found = m.old[f]
+		e, found = h.previous[f]
 	}
-	if !found || (now+r.Timeout-e.deadline).Abs() > sameDeadline {
+	if !found || (now+r.Timeout-e.deadlineAt).Abs() > deadlineTolerance {
 		return 0
 	}
-	return max(now-e.at, 0)
+	return max(now-e.firstAttemptAt, 0)
 }
 
-// note remembers a refused request whose first attempt came at a moment.
-func (m *returns) note(now time.Duration, f Fingerprint, e refusedOnce) {
-	if now >= m.turnAt || len(m.young) >= maxReturns {
-		m.old, m.young = m.young, map[Fingerprint]refusedOnce{}
-		m.turnAt = now + returnSpan
+// record stores a refused request.
+func (h *refusalHistory) record(now time.Duration, f Fingerprint, e refusedRequest) {
+	if now >= h.rotateAt || len(h.current) >= maxHistoryEntries {
+		h.previous, h.current = h.current, map[Fingerprint]refusedRequest{}
+		h.rotateAt = now + historySpan
 	}
-	m.young[f] = e
+	h.current[f] = e
 }
 
-// ShedRequest is a request that a router has refused by itself.
+// ShedRequest is a request that a router refused without submitting it.
 type ShedRequest struct {
 	Fingerprint Fingerprint
-	// Age is how long ago it came, Timeout how long its caller then waited.
+	// Age is the time since the request arrived, and Timeout the time to its deadline at
+	// that moment.
 	Age, Timeout time.Duration
 }
 
-// RecordShed takes in requests of a team that a router has refused by itself, with the
-// tokens that they asked for.
+// RecordShed records requests of a team that a router refused without submitting them,
+// with the number of tokens requested.
 func (c *Core) RecordShed(now time.Duration, router uint64, team string, tokens float64, requests []ShedRequest) {
-	c.teams.ask(now, router, team, tokens)
-	c.teams.refused(now, team)
+	c.teams.addRequested(now, router, team, tokens)
+	c.teams.recordRefusal(now, team)
 	for _, r := range requests {
 		at := now - r.Age
-		c.returns.note(now, r.Fingerprint, refusedOnce{at: at, deadline: at + r.Timeout})
+		c.refusals.record(now, r.Fingerprint, refusedRequest{firstAttemptAt: at, deadlineAt: at + r.Timeout})
 	}
 }
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -2,41 +2,42 @@
 
 import "time"
 
-// Ticket names a request over the whole fleet.
+// Ticket identifies a request within the fleet.
 type Ticket struct {
 	// Router is the incarnation of the router that holds the request.
 	Router uint64
 	Seq    uint64
 }
 
-// Request is what the core knows of a request.
+// Request describes a request to the core.
 type Request struct {
 	Ticket Ticket
-	// ID is the caller's name for the request, for the log.
+	// ID is the caller's ID of the request, for the log.
 	ID   string
 	Team string
-	// Priority is the priority; 0 goes first.
+	// Priority orders requests; 0 goes first.
 	Priority int
-	// Prompt and Output are tokens; Output is the most that may be generated.
-	// Both are 0 for plain services.
+	// Prompt and Output are numbers of tokens; Output is the maximum to be generated. Both
+	// are 0 for plain services.
 	Prompt, Output int
-	// Parts of the prompt in order, as far as they may be cached.
+	// Parts are the parts of the prompt in order, as far as they may be cached.
 	Parts []Part
-	// Target is the time left to the first byte; Timeout the time to the deadline.
+	// Target is the time left until the first byte is due, and Timeout until the deadline.
 	Target, Timeout time.Duration
-	// CacheHint is the upstream that the asking router last used for these parts. A
-	// new home has no memory; this keeps sessions where their parts are cached.
+	// CacheHint is the ID of the upstream that the submitting router last used for these
+	// parts. A new home has no record of the caches; the hint keeps sessions where their
+	// parts are cached.
 	CacheHint string
-	// Avoid are upstreams that this request has been to.
+	// Avoid lists the upstreams that this request was already sent to.
 	Avoid []string
-	// Regions are those whose upstreams may serve it; empty means all.
+	// Regions lists the regions whose upstreams may serve the request. Empty means all.
 	Regions []string
 }
 
 // Usage is what a team got, in tokens.
 type Usage struct {
-	// Window is a sum that decays over the span of teams' shares, Recent one that decays
-	// over a second.
+	// Window is a sum that decays over the share window, and Recent one that decays over
+	// one second.
 	Window, Recent float64
 }
 
@@ -46,12 +47,12 @@
 	Tokens int
 }
 
-// Verdict is what becomes of a request.
+// Verdict is the result of a scheduling decision.
 type Verdict uint8
 
 // Verdicts.
 const (
-	// Wait: a later decision follows.
+	// Wait: the request is queued and a later decision follows.
 	Wait Verdict = iota
 	// Send: the request goes to the upstream now.
 	Send
@@ -59,49 +60,49 @@
 	Refuse
 )
 
-// Decision is the core's answer to a request.
+// Decision is the core's decision on a request.
 type Decision struct {
 	Ticket   Ticket
 	Verdict  Verdict
 	Upstream string
-	// CopyFrom is an upstream that has more of the prompt cached, if copying it is
-	// worth it.
+	// CopyFrom is the ID of an upstream that has more of the prompt cached, if copying it
+	// is faster than prefilling it.
 	CopyFrom string
-	// RetryAfter is when a request like this one would be served.
+	// RetryAfter is the predicted time until a request like this one would be accepted.
 	RetryAfter time.Duration
-	// PredictedFirstByte is the time to the first byte that was predicted.
+	// PredictedFirstByte is the predicted time to first byte.
 	PredictedFirstByte time.Duration
-	// SinceFirstAttempt is how long before this attempt the caller made its first.
+	// SinceFirstAttempt is the time between the caller's first attempt and this one.
 	SinceFirstAttempt time.Duration
-	// OverShare is set if the team had more than its share.
+	// OverShare is set if the team got more than its share.
 	OverShare bool
 	// Warming is set if the upstream is warming up. The request must then be sent within
-	// warmup.GrantTTL of the question, or not at all.
+	// warmup.GrantTTL of its submission, or not at all.
 	Warming bool
-	// Allowance is what the asking router may ask for the team, in tokens a second:
-	// 0 if nothing is told, Unlimited if there is no bound.
+	// Allowance is the rate at which the submitting router may request for the team, in
+	// tokens per second: 0 if it is not set, Unlimited if there is no bound.
 	Allowance float64
-	// Group is the part of the service's upstreams whose home decided.
+	// Group is the index of the group of upstreams whose home decided.
 	Group int
-	// RouterOverloaded is set if no home was heard because the asking router is behind with
-	// its work; another router can take the request at once.
+	// RouterOverloaded is set if no reply of a home was processed because the submitting
+	// router is overloaded. Another router can take the request at once.
 	RouterOverloaded bool
-	// RefusalDetails is what a refusal rests on, for the log.
+	// Details holds the reasons of a refusal, for the log.
 	Details RefusalDetails
 }
 
-// Basis is what was known when a request was refused.
+// RefusalDetails is the state at the time of a refusal.
 type RefusalDetails struct {
 	ID, Team string
-	// Served and Share are the team's tokens within the window and what it was
-	// owed of them; Share is 0 while shares don't matter.
+	// Served is the team's usage within the window in tokens, and Share the usage it is
+	// entitled to; Share is 0 if there is no bound.
 	Served, Share float64
-	// Upstream was the best choice; Backlog is its work ahead, Waiting and Running
-	// the requests that waited for it and ran there.
+	// Upstream is the ID of the best candidate, Backlog its backlog, and Waiting and
+	// Running are the numbers of requests queued for it and running there.
 	Upstream         string
 	Backlog          time.Duration
 	Waiting, Running int
-	// Warming is how many upstreams of the group were warming up.
+	// Warming is the number of upstreams of the group that were warming up.
 	Warming int
 }
 
@@ -110,23 +111,23 @@
 
 // Outcomes.
 const (
-	// Served: a whole answer came.
+	// Served: the answer was complete.
 	Served Outcome = iota
-	// Failed: the upstream answered with a failure or broke off.
+	// Failed: the upstream returned an error or closed the connection early.
 	Failed
-	// Rejected: the upstream said that it didn't run the request.
+	// Rejected: the upstream reported that it didn't run the request.
 	Rejected
-	// Unreachable: no connection could be had.
+	// Unreachable: no connection could be established.
 	Unreachable
-	// Cancelled: the caller left or the request was given up; it says nothing of
-	// the upstream.
+	// Cancelled: the caller left or the request was abandoned. It does not count for or
+	// against the upstream.
 	Cancelled
-	// TimedOut: nothing came until the request's deadline.
+	// TimedOut: the upstream sent nothing before the request's deadline.
 	TimedOut
-	// NotSent: the request wasn't sent; its caller left first, or its router turned to
+	// NotSent: the request wasn't sent, because its caller left or its router chose
 	// another home or upstream.
 	NotSent
 )
 
-// unrun reports whether an upstream certainly didn't run the request.
-func (o Outcome) unrun() bool { return o == Rejected || o == NotSent }
+// notRun reports whether the upstream certainly didn't run the request.
+func (o Outcome) notRun() bool { return o == Rejected || o == NotSent }
--- a/dispatch/share_status.go
+++ b/dispatch/share_status.go
@@ -2,64 +2,67 @@
 
 import "time"
 
-// standing is how a team stands against its share.
-type standing uint8
+// shareStatus is a team's usage relative to its share.
+type shareStatus uint8
 
 const (
-	// within: the team had no more than an even division of the group's engines gives it.
-	within standing = iota
-	// ahead: it had more of this group, but less than its share of the fleet. It goes
-	// after teams that are within their share, so that a flood whose sessions belong to
-	// one group takes nothing from the small teams there.
-	ahead
-	// over: it had its share of the fleet, and takes what is spare.
-	over
+	// withinShare: the team got no more than an even division of the group's engines.
+	withinShare shareStatus = iota
+	// overGroupShare: the team got more from this group, but less than its share of the
+	// fleet. Its requests go after those of teams within their share, so that a flood
+	// whose sessions belong to one group takes nothing from the small teams there.
+	overGroupShare
+	// overFleetShare: the team got its share of the fleet and only gets spare capacity.
+	overFleetShare
 )
 
-// Shares are balanced over the window, but at a rate that stays near the fair one.
+// Shares are balanced over the share window, with rates that stay close to the fair rate.
 //
-// A team that floods alone takes what is spare, and its account stands far above the
-// share once a second team begins or engines are lost. Balanced at once, the second got
-// a whole window's share in a second or two while the first got nothing: over six
-// seconds one had 0.41 of the other's tokens, and users call less than half unfair.
-// Within a band around the fair rate neither can have less than leastRate/mostRate of
-// the other, whatever the accounts say, and the window is balanced by the rest. Bound:
-// 0.8/1.2 = 0.67 of the other over a time that is long against rateWindow, less the
+// A team that floods alone gets the spare capacity, so its usage is far above its share
+// when a second team starts or engines are lost. Balancing at once gave the second team a
+// whole window's share within 1 to 2 seconds and the first team nothing: over six seconds
+// one team got 0.41 of the other's tokens, and users consider less than half unfair.
+// Within a band around the fair rate, no team gets less than minFairRate/maxFairRate of
+// another, whatever their accounts are; the window is balanced with the rest. Bound:
+// 0.8/1.2 = 0.67 of the other over a time that is long compared with rateWindow, less the
 // largest request.
 const (
-	// rateWindow is the span of the rates: several requests of a heavy team, and short
-	// against the six seconds over which users compare.
+	// rateWindow is the window of the rates. It covers several requests of a busy team,
+	// and is short compared with the six seconds over which users compare teams.
 	rateWindow = time.Second
-	// leastRate is the part of the fair rate up to which a team is within its share
-	// whatever it had before.
-	leastRate = 0.8
-	// mostRate is the part from which on it is above, however little it had.
-	mostRate = 1.2
+	// minFairRate is the fraction of the fair rate up to which a team is within its share,
+	// whatever it got before.
+	minFairRate = 0.8
+	// maxFairRate is the multiple of the fair rate from which a team is above its share,
+	// however little it got before.
+	maxFairRate = 1.2
 )
 
-// standing returns how a team stands.
+// shareStatus returns the status of a team.
 //
-// Users compare what teams got from the whole fleet. If each group divided its service alike, a
-// team whose sessions belong to one group would get a fraction of what others get from several.
-func (s *shares) standing(now time.Duration, team string) standing {
+// Users compare what teams get from the whole fleet. If each group divided its capacity
+// evenly on its own, a team whose sessions belong to one group would get a fraction of
+// what others get from several groups.
+func (s *shares) shareStatus(now time.Duration, team string) shareStatus {
 	s.refresh(now)
 	a := s.account(now, team)
 	switch {
-	case s.above(a.total(), a.totalLately(), s.level):
-		return over
-	case s.above(a.served, a.lately, s.even):
-		return ahead
+	case s.exceeds(a.total(), a.totalRecent(), s.fairShare):
+		return overFleetShare
+	case s.exceeds(a.served, a.recent, s.groupShare):
+		return overGroupShare
 	}
-	return within
+	return withinShare
 }
 
-// above reports whether what a team got within the window and lately is above a level.
-func (s *shares) above(got, lately, level float64) bool {
-	fair := s.rate(level)
-	return lately > mostRate*fair || got > level && lately > leastRate*fair
+// exceeds reports whether a team's usage within the window and its recent usage are above
+// a share.
+func (s *shares) exceeds(usage, recent, share float64) bool {
+	fair := s.rate(share)
+	return recent > maxFairRate*fair || usage > share && recent > minFairRate*fair
 }
 
-// lately is what a team got within the last moments.
-func (s *shares) lately(now time.Duration, team string) float64 {
-	return s.account(now, team).totalLately()
+// recentUsage returns the team's usage over rateWindow, from all homes.
+func (s *shares) recentUsage(now time.Duration, team string) float64 {
+	return s.account(now, team).totalRecent()
 }
--- a/dispatch/state.go
+++ b/dispatch/state.go
@@ -5,51 +5,53 @@
 	"time"
 )
 
-// State is what a core knows and has decided, for operators.
+// State is a snapshot of a core for operators.
 type State struct {
 	Upstreams int `json:"upstreams"`
-	// Banned upstreams get no work for a while.
+	// Banned is the number of upstreams that temporarily get no requests.
 	Banned int `json:"banned"`
-	// Warming upstreams get requests at a bounded rate.
+	// Warming is the number of upstreams that get requests at a bounded rate while they
+	// warm up.
 	Warming int `json:"warming"`
-	// Utilization is the part of the time in which upstreams had unread work, Backlog the
-	// work ahead; both are means over the upstreams.
+	// Utilization is the fraction of time in which upstreams had a backlog, and Backlog
+	// the predicted time to work it off. Both are means over the upstreams.
 	Utilization float64       `json:"use"`
 	Backlog     time.Duration `json:"unread"`
-	// Waiting and Running are requests of all upstreams.
+	// Waiting and Running are the numbers of requests over all upstreams.
 	Waiting int `json:"waiting"`
 	Running int `json:"running"`
-	// Served is what teams got within the window, Capacity what they can get, FairShare
-	// the share up to which each is served in full (0: no bound), in tokens.
+	// Served is what all teams got within the window, Capacity what they can get, and
+	// FairShare the max-min fair share of a team, in tokens. 0 means unbounded.
 	Served    float64 `json:"served"`
 	Capacity  float64 `json:"room"`
 	FairShare float64 `json:"level"`
-	// OverShareTargetFraction is the part of the target that teams above their share may wait.
+	// OverShareTargetFraction is the fraction of the target that requests of teams above
+	// their share may wait.
 	OverShareTargetFraction float64 `json:"overUse"`
-	// Counts since the core was made.
+	// Counts are totals since the core was created.
 	Counts Counts `json:"counts"`
 }
 
-// Counts are decisions.
+// Counts are numbers of requests by decision.
 type Counts struct {
 	Submitted int `json:"asked"`
 	Sent      int `json:"sent"`
 	Refused   int `json:"refused"`
-	// RefusedOverShare is the part of Refused that concerned teams above their share.
+	// RefusedOverShare is the part of Refused that came from teams above their share.
 	RefusedOverShare int `json:"refusedOver"`
 }
 
 // State returns the core's state.
 func (c *Core) State(now time.Duration) State {
-	s := State{Upstreams: len(c.upstreams), Served: c.teams.got, OverShareTargetFraction: c.overUse(now), Counts: c.counts}
-	s.FairShare, s.Capacity = finite(c.teams.level), finite(c.teams.room(now))
+	s := State{Upstreams: len(c.upstreams), Served: c.teams.totalServed, OverShareTargetFraction: c.overShareFraction(now), Counts: c.counts}
+	s.FairShare, s.Capacity = finite(c.teams.fairShare), finite(c.teams.availableCapacity(now))
 	for _, u := range c.upstreams {
-		u.touch(now)
-		s.Utilization += u.use
-		s.Backlog += u.remaining(now)
+		u.update(now)
+		s.Utilization += u.utilization
+		s.Backlog += u.backlog(now)
 		s.Waiting += len(u.queue)
 		s.Running += u.running
-		if now < u.banned {
+		if now < u.bannedUntil {
 			s.Banned++
 		}
 		if u.warming(now) {
@@ -63,7 +65,7 @@
 	return s
 }
 
-// finite is 0 for what has no bound.
+// finite returns x, or 0 if it is infinite.
 func finite(x float64) float64 {
 	if math.IsInf(x, 1) {
 		return 0
@@ -71,7 +73,7 @@
 	return x
 }
 
-// Since is what was decided after an earlier state.
+// Since returns the counts since an earlier state.
 func (c Counts) Since(earlier Counts) Counts {
 	return Counts{
 		Submitted: c.Submitted - earlier.Submitted, Sent: c.Sent - earlier.Sent,
--- a/dispatch/team_state.go
+++ b/dispatch/team_state.go
@@ -9,35 +9,36 @@
 // TeamState is a team's account, in tokens.
 type TeamState struct {
 	Team string `json:"team"`
-	// Requested and Served are sums that decay over the share's window, Recent is what was
-	// served with a decay over a second.
+	// Requested and Served are sums that decay over the share window; Recent is what was
+	// served, with a decay over one second.
 	Requested float64 `json:"asked"`
 	Served    float64 `json:"served"`
 	Recent    float64 `json:"lately"`
-	// Remote is what the team is taken to have got from other homes, as Served.
+	// Remote is the estimate of what the team got from other homes, decayed like Served.
 	Remote float64 `json:"elsewhere"`
-	// RequestedTotal and ServedTotal are sums of this group since the account began.
+	// RequestedTotal and ServedTotal are sums over this group since the account was
+	// created.
 	RequestedTotal float64 `json:"askedAll"`
 	ServedTotal    float64 `json:"servedAll"`
-	// OverShare is set if the team had more than its share.
+	// OverShare is set if the team got more than its share of the fleet.
 	OverShare bool `json:"over"`
 }
 
-// Teams returns teams' accounts, the one that asked for most first.
-func (c *Core) Teams(now time.Duration, most int) []TeamState {
-	all := make([]TeamState, 0, len(c.teams.teams))
+// Teams returns the accounts of at most limit teams, by descending demand.
+func (c *Core) Teams(now time.Duration, limit int) []TeamState {
+	states := make([]TeamState, 0, len(c.teams.teams))
 	for name, a := range c.teams.teams {
 		a.decay(now, c.teams.window)
-		all = append(all, TeamState{
-			Team: name, Requested: a.asked, Served: a.served, Recent: a.lately, Remote: a.elsewhere.Window, RequestedTotal: a.askedAll, ServedTotal: a.servedAll,
+		states = append(states, TeamState{
+			Team: name, Requested: a.requested, Served: a.served, Recent: a.recent, Remote: a.remote.Window, RequestedTotal: a.requestedTotal, ServedTotal: a.servedTotal,
 		})
 	}
-	slices.SortFunc(all, func(a, b TeamState) int {
+	slices.SortFunc(states, func(a, b TeamState) int {
 		return cmp.Or(cmp.Compare(b.Requested, a.Requested), cmp.Compare(a.Team, b.Team))
 	})
-	all = all[:min(most, len(all))]
-	for i := range all {
-		all[i].OverShare = c.teams.standing(now, all[i].Team) == over
+	states = states[:min(limit, len(states))]
+	for i := range states {
+		states[i].OverShare = c.teams.shareStatus(now, states[i].Team) == overFleetShare
 	}
-	return all
+	return states
 }
--- a/dispatch/upstream.go
+++ b/dispatch/upstream.go
@@ -13,275 +13,282 @@
 	Incarnation
 	Slots    int
 	KVTokens int
-	// CopyPerToken is how long the upstream takes to copy a cached token from
-	// another; 0 if it can't.
+	// CopyPerToken is the time to copy a cached token from another engine, or 0 if the
+	// upstream can't copy.
 	CopyPerToken time.Duration
-	// WarmUntil is when the upstream has warmed up, as far as is known.
+	// WarmUntil is the reported end of the warm-up.
 	WarmUntil time.Duration
-	// WarmUpDuration is how long it warms up after a restart, and WarmUpRate the requests per
-	// second that this core may send it meanwhile. Without a WarmUpDuration there is no bound.
+	// WarmUpDuration is the length of a warm-up after a restart, and WarmUpRate the
+	// requests per second that this core may send meanwhile. If WarmUpDuration is 0, there
+	// is no bound.
 	WarmUpDuration time.Duration
 	WarmUpRate     float64
-	// Region is where it runs.
-	Region string
+	Region         string
 }
 
-// upstream is the core's model of one.
+// upstream is the core's model of an upstream.
 type upstream struct {
 	Member
 	cfg *Config
-	// queue are jobs that wait here for it, in no order.
+	// queue holds the jobs that wait here for the upstream, unordered.
 	queue []*job
-	// unread are the jobs sent and not started, oldest first.
-	unread []*job
-	// ahead is the sum of the unread jobs' costs.
-	ahead time.Duration
-	// headAt is when the upstream began with the oldest unread job.
-	headAt  time.Duration
-	running int
-	memory  int
-	cache   *cache
-	// speed is measured over predicted time; took and meant are its sums.
-	took, meant float64
-	// use is the part of the time in which there was unread work, averaged.
-	use   float64
-	useAt time.Duration
-	// failed averages over requests, 1 for one that failed; served over the
-	// milliseconds that a plain service took.
-	failed, served average
-	banned         time.Duration
-	ban            time.Duration
-	order          int
-	// heardAt is when anything last came from it.
-	heardAt time.Duration
-	pace    pace
-	// yield is that of the group.
-	yield  *yield
-	warmUp warmup.Bucket
-	// presumedWarm is when the upstream has warmed up by what it said itself, or if it
-	// restarted while it couldn't be reached.
-	presumedWarm time.Duration
+	// awaitingFirstByte holds the jobs sent and not started, oldest first. For an engine
+	// these are the prompts that are not prefilled yet.
+	awaitingFirstByte []*job
+	// backlogCost is the sum of their costs.
+	backlogCost time.Duration
+	// headStartedAt is when the upstream began with the oldest of them.
+	headStartedAt time.Duration
+	running       int
+	reservedKV    int
+	cache         *cache
+	// measuredMs and predictedMs are decaying sums of prefill times; their ratio is the
+	// cost factor.
+	measuredMs, predictedMs float64
+	// utilization is the averaged fraction of time in which there was a backlog.
+	utilization float64
+	updatedAt   time.Duration
+	// failureRate averages over requests, with 1 for a failed one; serviceMs averages the
+	// service time of a plain service in milliseconds.
+	failureRate, serviceMs average
+	bannedUntil            time.Duration
+	banDuration            time.Duration
+	order                  int
+	// lastResponseAt is when the upstream last responded.
+	lastResponseAt time.Duration
+	throttle       prefillThrottle
+	// prefillYield is shared by the group.
+	prefillYield *prefillYield
+	warmUp       warmup.Bucket
+	// presumedWarmAt is the end of the warm-up according to the upstream itself, or of the
+	// one it would need if it restarted while it was unreachable.
+	presumedWarmAt time.Duration
 }
 
-// plainTime is how long a plain service's request is taken to last before any has,
-// in milliseconds.
-const plainTime = 40
+// defaultServiceMs is the assumed service time of a plain service, in milliseconds, before
+// any was measured.
+const defaultServiceMs = 40
 
-func newUpstream(m Member, cfg *Config, y *yield) *upstream {
-	return &upstream{Member: m, cfg: cfg, yield: y, cache: newCache()}
+func newUpstream(m Member, cfg *Config, yield *prefillYield) *upstream {
+	return &upstream{Member: m, cfg: cfg, prefillYield: yield, cache: newCache()}
 }
 
-// speed corrects the predicted cost: upstreams of one service differ.
-func (u *upstream) speed() float64 {
-	const prior = 300 // ms of work that count as measured at the data sheet's speed
-	return (u.took + prior) / (u.meant + prior)
+// costFactor returns the ratio of measured to predicted cost. Upstreams of one service
+// differ.
+func (u *upstream) costFactor() float64 {
+	const priorWorkMs = 300 // initial weight of the data sheet's rate, in ms of prefill
+	return (u.measuredMs + priorWorkMs) / (u.predictedMs + priorWorkMs)
 }
 
-// serviceTime is how long a plain service takes for a request.
-func (u *upstream) serviceTime(now time.Duration, usual *usual) time.Duration {
-	return time.Duration(u.served.value(now, usual.serviceTime) * float64(time.Millisecond))
+// serviceTime returns the expected service time of a plain service.
+func (u *upstream) serviceTime(now time.Duration, averages *averages) time.Duration {
+	return time.Duration(u.serviceMs.value(now, averages.serviceTime) * float64(time.Millisecond))
 }
 
-// failingMore is by how much an upstream fails more of its requests than usual.
-func (u *upstream) failingMore(now time.Duration, usual *usual) float64 {
-	return max(u.failed.value(now, usual.failing)-usual.failing, 0)
+// excessFailureRate returns by how much the upstream's failure rate exceeds the mean of
+// the group.
+func (u *upstream) excessFailureRate(now time.Duration, averages *averages) float64 {
+	return max(u.failureRate.value(now, averages.meanFailureRate)-averages.meanFailureRate, 0)
 }
 
-// cost predicts how long an engine works on a request to its first byte if it
-// has kept tokens of the prompt and copies some more.
-func (u *upstream) cost(r *Request, kept, copied int) time.Duration {
-	have := kept + copied
-	unread := float64(max(r.Prompt-have, 1))
-	ms := unread/u.cfg.PrefillTokensPerMs +
-		unread*(float64(have)+unread/2)/u.cfg.AttentionPairsPerMs +
-		math.Ceil(unread/float64(u.cfg.ChunkTokens))*u.cfg.PrefillStepMs
-	return time.Duration(ms*u.speed()*float64(time.Millisecond)) + time.Duration(copied)*u.CopyPerToken
+// cost predicts how long an engine works on a request up to its first byte if cached
+// tokens of the prompt are available and some more are copied.
+func (u *upstream) cost(r *Request, cached, copied int) time.Duration {
+	available := cached + copied
+	uncached := float64(max(r.Prompt-available, 1))
+	ms := uncached/u.cfg.PrefillTokensPerMs +
+		uncached*(float64(available)+uncached/2)/u.cfg.AttentionPairsPerMs +
+		math.Ceil(uncached/float64(u.cfg.ChunkTokens))*u.cfg.PrefillStepMs
+	return time.Duration(ms*u.costFactor()*float64(time.Millisecond)) + time.Duration(copied)*u.CopyPerToken
 }
 
-// remaining is how long the upstream still works on what it was sent.
-func (u *upstream) remaining(now time.Duration) time.Duration {
-	if len(u.unread) == 0 {
+// backlog returns the predicted time until the upstream has worked off what it was sent.
+func (u *upstream) backlog(now time.Duration) time.Duration {
+	if len(u.awaitingFirstByte) == 0 {
 		return 0
 	}
-	done := min(now-u.headAt, u.unread[0].cost)
-	return max(u.ahead-done, 0)
+	done := min(now-u.headStartedAt, u.awaitingFirstByte[0].cost)
+	return max(u.backlogCost-done, 0)
 }
 
-// full reports whether a job has no room at the upstream now.
-func (u *upstream) full(memory int) bool {
+// full reports whether the upstream has no free slot, or no room for kvTokens in its KV
+// cache.
+func (u *upstream) full(kvTokens int) bool {
 	if u.running >= u.Slots {
 		return true
 	}
-	return u.cfg.Engine && u.running > 0 && u.memory+memory > int(u.cfg.MaxKVFraction*float64(u.KVTokens))
+	return u.cfg.Engine && u.running > 0 && u.reservedKV+kvTokens > int(u.cfg.MaxKVFraction*float64(u.KVTokens))
 }
 
-// useWindow is the span over which the use is averaged.
-const useWindow = 4 * time.Second
+// utilizationWindow is the window over which the utilization is averaged.
+const utilizationWindow = 4 * time.Second
 
-// token is what each token of the streams takes while nothing is read.
-func (u *upstream) token() time.Duration {
-	return time.Duration(u.cfg.DecodeStepMs * u.speed() * float64(time.Millisecond))
+// decodeStep returns the time per output token while nothing is prefilled.
+func (u *upstream) decodeStep() time.Duration {
+	return time.Duration(u.cfg.DecodeStepMs * u.costFactor() * float64(time.Millisecond))
 }
 
-// step is what each token takes at present: while prompts are read, a chunk of them.
-func (u *upstream) step() time.Duration {
-	token := u.token()
-	if len(u.unread) == 0 {
-		return token
+// currentDecodeStep returns the current time per output token. During prefill each decode
+// step also takes the time of a chunk.
+func (u *upstream) currentDecodeStep() time.Duration {
+	decode := u.decodeStep()
+	if len(u.awaitingFirstByte) == 0 {
+		return decode
 	}
-	chunk := float64(u.cfg.ChunkTokens) / u.cfg.PrefillTokensPerMs * u.speed()
-	most := token + time.Duration(chunk*float64(time.Millisecond))
-	return min(max(u.unread[0].cost, token), most)
+	chunk := float64(u.cfg.ChunkTokens) / u.cfg.PrefillTokensPerMs * u.costFactor()
+	longest := decode + time.Duration(chunk*float64(time.Millisecond))
+	return min(max(u.awaitingFirstByte[0].cost, decode), longest)
 }
 
-// busyFor is how long the upstream takes no more to read: what it was sent, and the
-// rest that its streams need.
-func (u *upstream) busyFor(now time.Duration) time.Duration {
-	return u.remaining(now) + u.pace.rest
+// prefillWait returns the time until the upstream starts another prefill: its backlog and
+// the pause that its streams need.
+func (u *upstream) prefillWait(now time.Duration) time.Duration {
+	return u.backlog(now) + u.throttle.pauseLeft
 }
 
-// touch brings the average use and the streams' tokens up to the present.
-func (u *upstream) touch(now time.Duration) {
-	if now <= u.useAt {
+// update brings the utilization and the decoded tokens of the streams up to now.
+func (u *upstream) update(now time.Duration) {
+	if now <= u.updatedAt {
 		return
 	}
 	busy := 0.0
-	if len(u.unread) > 0 || (!u.cfg.Engine && u.running > 0) {
+	if len(u.awaitingFirstByte) > 0 || (!u.cfg.Engine && u.running > 0) {
 		busy = 1
 	}
 	if u.cfg.Engine {
-		u.pace.advance(now-u.useAt, u.step(), len(u.unread) > 0)
+		u.throttle.advance(now-u.updatedAt, u.currentDecodeStep(), len(u.awaitingFirstByte) > 0)
 	}
-	f := math.Exp(-float64(now-u.useAt) / float64(useWindow))
-	u.use = u.use*f + busy*(1-f)
-	u.useAt = now
+	factor := math.Exp(-float64(now-u.updatedAt) / float64(utilizationWindow))
+	u.utilization = u.utilization*factor + busy*(1-factor)
+	u.updatedAt = now
 }
 
-// overdue is added to twice the predicted time before a request counts as not
-// being read: some steps of a slow engine.
-const overdue = 200 * time.Millisecond
+// prefillGrace is added to twice the predicted backlog before the prefill of a request
+// counts as overdue. It covers some steps of a slow engine.
+const prefillGrace = 200 * time.Millisecond
 
-// take gives the upstream a job.
-func (u *upstream) take(j *job, now time.Duration) {
-	u.touch(now)
+// assign records that a job is sent to the upstream.
+func (u *upstream) assign(j *job, now time.Duration) {
+	u.update(now)
 	j.upstream, j.state, j.sentAt = u, sent, now
-	if len(u.unread) == 0 {
-		u.headAt = now
+	if len(u.awaitingFirstByte) == 0 {
+		u.headStartedAt = now
 	}
-	u.unread = append(u.unread, j)
-	u.ahead += j.cost
-	j.readBy = now + 2*u.remaining(now) + overdue
+	u.awaitingFirstByte = append(u.awaitingFirstByte, j)
+	u.backlogCost += j.cost
+	j.prefillDeadline = now + 2*u.backlog(now) + prefillGrace
 	u.running++
-	u.memory += j.memory
+	u.reservedKV += j.reservedKV
 	if u.cfg.Engine {
-		u.cache.read(j, j.Parts, u.KVTokens-u.memory)
+		u.cache.insert(j, j.Parts, u.KVTokens-u.reservedKV)
 	}
 }
 
-// started notes a job's first byte and learns the speed.
-func (u *upstream) started(j *job, now time.Duration) {
-	u.touch(now)
-	u.heardAt = now
+// firstByte records the first byte of a job and updates the cost factor.
+func (u *upstream) firstByte(j *job, now time.Duration) {
+	u.update(now)
+	u.lastResponseAt = now
 	if j.state != sent {
 		return
 	}
-	u.learn(j, now)
+	u.updateCostFactor(j, now)
 	if u.cfg.Engine {
-		u.yield.add(j.tokens, j.cost)
-		u.pace.review(now, u.token(), u.yield.perMs())
-		u.pace.begin(j, j.cost)
+		u.prefillYield.add(j.chargedTokens, j.cost)
+		u.throttle.review(now, u.decodeStep(), u.prefillYield.tokensPerMs())
+		u.throttle.addStream(j, j.cost)
 	}
-	u.read(j, now)
+	u.finishPrefill(j, now)
 	j.state = started
 }
 
-// minLearn is the least predicted time that says something of the speed; below
-// it the way over the network and the step under way weigh more.
-const minLearn = 30 * time.Millisecond
+// minMeasuredCost is the minimum predicted cost of a prefill that updates the cost factor.
+// Below it, network latency and the step in progress dominate.
+const minMeasuredCost = 30 * time.Millisecond
 
-func (u *upstream) learn(j *job, now time.Duration) {
-	if !u.cfg.Engine || len(u.unread) == 0 || u.unread[0] != j || j.cost < minLearn {
+func (u *upstream) updateCostFactor(j *job, now time.Duration) {
+	if !u.cfg.Engine || len(u.awaitingFirstByte) == 0 || u.awaitingFirstByte[0] != j || j.cost < minMeasuredCost {
 		return
 	}
-	const keep = 0.93 // about the last fifteen requests count
-	took := float64(now-u.headAt) / float64(time.Millisecond)
-	meant := float64(j.cost) / float64(time.Millisecond) / u.speed()
-	took = min(took, 5*meant)
-	u.took = u.took*keep + took
-	u.meant = u.meant*keep + meant
+	const decay = 0.93 // averages over about the last 15 requests
+	measured := float64(now-u.headStartedAt) / float64(time.Millisecond)
+	predicted := float64(j.cost) / float64(time.Millisecond) / u.costFactor()
+	measured = min(measured, 5*predicted)
+	u.measuredMs = u.measuredMs*decay + measured
+	u.predictedMs = u.predictedMs*decay + predicted
 }
 
-// read takes a job off the unread ones.
-func (u *upstream) read(j *job, now time.Duration) {
-	i := slices.Index(u.unread, j)
+// finishPrefill removes a job from the backlog.
+func (u *upstream) finishPrefill(j *job, now time.Duration) {
+	i := slices.Index(u.awaitingFirstByte, j)
 	if i < 0 {
 		return
 	}
-	u.unread = slices.Delete(u.unread, i, i+1)
-	u.cache.done(j)
-	u.ahead -= j.cost
+	u.awaitingFirstByte = slices.Delete(u.awaitingFirstByte, i, i+1)
+	u.cache.prefillDone(j)
+	u.backlogCost -= j.cost
 	if i == 0 {
-		u.headAt = now
+		u.headStartedAt = now
 	}
 }
 
-// ended takes a job off the upstream.
-func (u *upstream) ended(j *job, now time.Duration, o Outcome, took time.Duration) {
-	u.touch(now)
+// finish removes a job from the upstream and records its outcome.
+func (u *upstream) finish(j *job, now time.Duration, o Outcome, took time.Duration) {
+	u.update(now)
 	if j.state == sent {
-		u.read(j, now)
+		u.finishPrefill(j, now)
 	}
-	u.pace.end(j)
+	u.throttle.removeStream(j)
 	u.running--
-	u.memory -= j.memory
+	u.reservedKV -= j.reservedKV
 	if o == Served || o == Failed || o == Rejected {
-		u.heardAt = now
+		u.lastResponseAt = now
 	}
 	switch o {
 	case Served:
-		u.failed.add(now, 0)
-		u.ban = 0
+		u.failureRate.add(now, 0)
+		u.banDuration = 0
 		if took > 0 && !u.cfg.Engine {
-			u.served.add(now, float64(took)/float64(time.Millisecond))
+			u.serviceMs.add(now, float64(took)/float64(time.Millisecond))
 		}
 	case Failed:
-		u.failed.add(now, 1)
+		u.failureRate.add(now, 1)
 	case Rejected:
-		// It has more work than the model knows, for instance of other homes.
-		u.banned = max(u.banned, now+50*time.Millisecond)
+		// The upstream has more work than this core has sent, for instance from other
+		// homes.
+		u.bannedUntil = max(u.bannedUntil, now+50*time.Millisecond)
 	case Unreachable:
-		u.leaveAlone(now)
-		u.presumedWarm = max(u.presumedWarm, u.banned+u.WarmUpDuration)
+		u.ban(now)
+		u.presumedWarmAt = max(u.presumedWarmAt, u.bannedUntil+u.WarmUpDuration)
 	case TimedOut:
-		if u.hangs(j, now, took) {
-			u.leaveAlone(now)
+		if u.isHung(j, now, took) {
+			u.ban(now)
 		}
 	case Cancelled, NotSent:
 	}
 }
 
-// leaveAlone keeps work from an upstream for a while, longer each time.
-func (u *upstream) leaveAlone(now time.Duration) {
-	u.failed.add(now, 1)
-	u.ban = min(max(2*u.ban, u.cfg.BanMin), u.cfg.BanMax)
-	u.banned = max(u.banned, now+u.ban)
+// ban takes the upstream out of use for a while, with exponential backoff.
+func (u *upstream) ban(now time.Duration) {
+	u.failureRate.add(now, 1)
+	u.banDuration = min(max(2*u.banDuration, u.cfg.BanMin), u.cfg.BanMax)
+	u.bannedUntil = max(u.bannedUntil, now+u.banDuration)
 }
 
-// patience is how many usual service times a plain service may take before it
-// counts as hung: one request in a thousand takes longer than five.
-const patience = 5
+// hungServiceTimes is the multiple of the mean service time after which a plain service
+// counts as hung. One request in a thousand takes longer than 5 times the mean.
+const hungServiceTimes = 5
 
-// hangs reports whether an upstream that gave no answer until the deadline should
-// have. A caller or route with a short deadline gives up while a sound upstream
-// works, and some requests are long: one that has answered others meanwhile is
-// alive. Measured at four upstreams, two such requests a second kept one of them
-// out of use all the time and let a fifth of all answers come late.
-func (u *upstream) hangs(j *job, now, took time.Duration) bool {
-	if u.heardAt > j.sentAt {
+// isHung reports whether an upstream that sent no answer before the deadline should have.
+// A caller or route with a short deadline gives up while a healthy upstream is working,
+// and some requests are long; an upstream that answered other requests meanwhile is alive.
+// With four upstreams, two such requests per second kept one of them banned all the time
+// and made a fifth of all answers late.
+func (u *upstream) isHung(j *job, now, took time.Duration) bool {
+	if u.lastResponseAt > j.sentAt {
 		return false
 	}
 	if u.cfg.Engine {
-		return now > j.readBy
+		return now > j.prefillDeadline
 	}
-	return took > patience*time.Duration(u.served.mean(plainTime)*float64(time.Millisecond))
+	return took > hungServiceTimes*time.Duration(u.serviceMs.mean(defaultServiceMs)*float64(time.Millisecond))
 }
