--- a/dispatch/allowance_test.go
+++ b/dispatch/allowance_test.go
@@ -11,22 +11,22 @@
 	"github.com/aspenswitch/aspenswitch/dispatch"
 )
 
-// asker is a router that asks a core for a team and keeps what it was last allowed.
-type asker struct {
-	c       *dispatch.Core
-	router  uint64
-	seq     uint64
-	allowed float64
-	sent    []dispatch.Ticket
+// testRouter submits requests for a team and stores the last allowance it received.
+type testRouter struct {
+	c         *dispatch.Core
+	router    uint64
+	seq       uint64
+	allowance float64
+	sent      []dispatch.Ticket
 }
 
-func (a *asker) ask(now time.Duration, team string) {
+func (a *testRouter) submit(now time.Duration, team string) {
 	a.seq++
 	r := request(a.seq, team, a.seq%20)
 	r.Ticket.Router = a.router
 	for _, d := range a.c.Submit(now, r) {
 		if d.Ticket == r.Ticket && d.Allowance != 0 {
-			a.allowed = d.Allowance
+			a.allowance = d.Allowance
 		}
 		if d.Verdict == dispatch.Send {
 			a.sent = append(a.sent, d.Ticket)
@@ -34,8 +34,8 @@
 	}
 }
 
-// end lets what was sent end.
-func (a *asker) end(now time.Duration) {
+// finish completes the requests that were sent.
+func (a *testRouter) finish(now time.Duration) {
 	for _, t := range a.sent {
 		a.c.Started(now, t)
 		a.c.Done(now, t, dispatch.Served, time.Second)
@@ -43,118 +43,120 @@
 	a.sent = nil
 }
 
-// Two teams ask for far more than there is, one of them through two routers, of which
-// one gets nine times as much as the other. Each router is told its part of the team's
-// rate, twice the fair one at the least; a team that asks for no more than its share has
-// no bound.
-func TestRoutersAreToldTheirPartsOfATeamsRate(t *testing.T) {
+// Guards against allowances that ignore how a team's demand is spread over routers. Two
+// teams are over capacity, one of them through two routers with demand 9:1. Each router
+// gets its part of at least twice the team's fair rate; a team within its share has no
+// bound.
+func TestRoutersGetTheirPartsOfATeamsRate(t *testing.T) {
 	g := NewWithT(t)
 	const capacity = 60000
 	c := newCore(2)
 	c.SetCapacity(capacity)
-	most, least := &asker{c: c, router: 1}, &asker{c: c, router: 2}
-	other, small := &asker{c: c, router: 3}, &asker{c: c, router: 4}
+	heavy, light := &testRouter{c: c, router: 1}, &testRouter{c: c, router: 2}
+	other, small := &testRouter{c: c, router: 3}, &testRouter{c: c, router: 4}
 	now := 2 * time.Second
 	for i := range 600 {
 		now += 10 * time.Millisecond
 		if i%10 == 0 {
-			least.ask(now, "flood")
+			light.submit(now, "flood")
 		} else {
-			most.ask(now, "flood")
+			heavy.submit(now, "flood")
 		}
-		other.ask(now, "other")
+		other.submit(now, "other")
 		if i%100 == 0 {
-			small.ask(now, "small")
+			small.submit(now, "small")
 		}
 		if i%20 == 0 {
-			for _, a := range []*asker{most, least, other, small} {
-				a.end(now)
+			for _, a := range []*testRouter{heavy, light, other, small} {
+				a.finish(now)
 			}
 		}
 	}
-	g.Expect(math.IsInf(small.allowed, 1)).To(BeTrue())
-	g.Expect(most.allowed/least.allowed).To(BeNumerically("~", 9, 3), fmt.Sprint(most.allowed, least.allowed))
-	g.Expect(most.allowed + least.allowed).To(BeNumerically(">", 0.6*other.allowed))
-	g.Expect(most.allowed + least.allowed).To(BeNumerically("<", 1.6*other.allowed))
-	// At least 0.6 of the published yield is taken for granted. The small team gets what it
-	// asks, and a router may ask for twice its team's fair part, which is half of the rest.
+	g.Expect(math.IsInf(small.allowance, 1)).To(BeTrue())
+	g.Expect(heavy.allowance/light.allowance).To(BeNumerically("~", 9, 3), fmt.Sprint(heavy.allowance, light.allowance))
+	g.Expect(heavy.allowance + light.allowance).To(BeNumerically(">", 0.6*other.allowance))
+	g.Expect(heavy.allowance + light.allowance).To(BeNumerically("<", 1.6*other.allowance))
+	// At least 0.6 of the published throughput is assumed. The small team gets all it
+	// requests. The other team's router may request twice its fair rate, which is half of
+	// the rest.
 	const smallRate = 9100
-	g.Expect(other.allowed).To(BeNumerically(">", 0.8*(0.6*capacity-smallRate)))
+	g.Expect(other.allowance).To(BeNumerically(">", 0.8*(0.6*capacity-smallRate)))
 }
 
-// Guards against hundreds of routers that together may ask for several times a team's rate.
+// Guards against hundreds of routers that together may request several times a team's
+// rate.
 func TestManyRoutersMayAskForNoMoreThanOne(t *testing.T) {
 	g := NewWithT(t)
 	c := newCore(2)
 	c.SetCapacity(60000)
-	wide := make([]*asker, 280)
+	wide := make([]*testRouter, 280)
 	for i := range wide {
-		wide[i] = &asker{c: c, router: uint64(i + 10)}
+		wide[i] = &testRouter{c: c, router: uint64(i + 10)}
 	}
-	narrow := &asker{c: c, router: 1}
+	narrow := &testRouter{c: c, router: 1}
 	now := 2 * time.Second
 	for i := range 1200 {
 		now += 5 * time.Millisecond
 		a := wide[i%len(wide)]
-		a.ask(now, "wide")
-		narrow.ask(now, "narrow")
+		a.submit(now, "wide")
+		narrow.submit(now, "narrow")
 		if i%20 == 0 {
-			narrow.end(now)
+			narrow.finish(now)
 			for _, a := range wide {
-				a.end(now)
+				a.finish(now)
 			}
 		}
 	}
-	all := 0.0
+	total := 0.0
 	for _, a := range wide {
-		all += a.allowed
+		total += a.allowance
 	}
-	g.Expect(all).To(BeNumerically("<", 1.6*narrow.allowed))
-	g.Expect(all).To(BeNumerically(">", 0.6*narrow.allowed))
+	g.Expect(total).To(BeNumerically("<", 1.6*narrow.allowance))
+	g.Expect(total).To(BeNumerically(">", 0.6*narrow.allowance))
 }
 
-// What a router refused without asking counts as asked for there, or its part of the
-// team's rate would shrink with each refusal.
+// Guards against an allowance that shrinks with each refusal: requests that a router sheds
+// must count towards its part of the team's demand.
 func TestShedRequestsCountForTheRoutersPart(t *testing.T) {
 	g := NewWithT(t)
 	c := newCore(2)
 	c.SetCapacity(60000)
-	a, b := &asker{c: c, router: 1}, &asker{c: c, router: 2}
+	a, b := &testRouter{c: c, router: 1}, &testRouter{c: c, router: 2}
 	now := 2 * time.Second
 	for i := range 300 {
 		now += 10 * time.Millisecond
-		a.ask(now, "flood")
-		b.ask(now, "flood")
+		a.submit(now, "flood")
+		b.submit(now, "flood")
 		c.RecordShed(now, 2, "flood", 3*9000, nil)
 		if i%20 == 0 {
-			a.end(now)
-			b.end(now)
+			a.finish(now)
+			b.finish(now)
 		}
 	}
-	g.Expect(b.allowed / a.allowed).To(BeNumerically("~", 4, 0.8))
+	g.Expect(b.allowance / a.allowance).To(BeNumerically("~", 4, 0.8))
 }
 
-// A team gets nothing for two seconds: its router was held up, or homes' answers came
-// late. Then it may ask for its whole share at once. Where it may ask for twice what it
-// got, others have long taken what it leaves before it is back at its share.
+// Guards against a slow recovery of a team that got nothing for two seconds because its
+// router was delayed or replies were late. It may request its whole share at once; with an
+// allowance of twice its usage, others would take its capacity meanwhile.
 func TestTeamThatGotNothingMayAskForItsShareAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	const capacity = 400000
 	c := newCore(10)
 	c.SetCapacity(capacity)
-	a, b := &asker{c: c, router: 1}, &asker{c: c, router: 2}
+	a, b := &testRouter{c: c, router: 1}, &testRouter{c: c, router: 2}
 	now := 2 * time.Second
 	for i := range 1500 {
 		now += 4 * time.Millisecond
 		if i < 1000 || i == 1499 {
-			a.ask(now, "held up")
+			a.submit(now, "held up")
 		}
-		b.ask(now, "other")
+		b.submit(now, "other")
 		if i%50 == 0 {
-			a.end(now)
-			b.end(now)
+			a.finish(now)
+			b.finish(now)
 		}
 	}
-	// Half of the published yield's 0.6, twice.
-	g.Expect(a.allowed).To(BeNumerically(">", 0.8*0.6*capacity))
+	// Twice the fair rate, which is half of 0.6 of the published throughput.
+	g.Expect(a.allowance).To(BeNumerically(">", 0.8*0.6*capacity))
 }
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -7,8 +7,8 @@
 	"github.com/aspenswitch/aspenswitch/dispatch"
 )
 
-// askAtEngines measures one question with its start and end, at so many engines.
-func askAtEngines(engines int) testing.BenchmarkResult {
+// benchmarkSubmit measures the submission, start and completion of a request.
+func benchmarkSubmit(engines int) testing.BenchmarkResult {
 	return testing.Benchmark(func(b *testing.B) {
 		c := newCore(engines)
 		now := 2 * time.Second
@@ -25,13 +25,13 @@
 	})
 }
 
-// A home of twice as many engines must not take much more than twice the time:
-// it decides for every request of its group, on a part of a core.
+// Guards against decisions whose cost grows faster than the number of engines: a home
+// decides on all requests of its group with part of a CPU core.
 func TestCostOfADecisionGrowsWithTheEnginesAtMost(t *testing.T) {
 	if testing.Short() {
-		t.Skip("measures for some seconds")
+		t.Skip("takes several seconds")
 	}
-	few, many := askAtEngines(16), askAtEngines(32)
+	few, many := benchmarkSubmit(16), benchmarkSubmit(32)
 	ratio := float64(many.NsPerOp()) / float64(few.NsPerOp())
 	t.Logf("%d and %d ns, ratio %.2f", few.NsPerOp(), many.NsPerOp(), ratio)
 	if ratio > 3.5 {
--- a/dispatch/core_test.go
+++ b/dispatch/core_test.go
@@ -13,7 +13,7 @@
 
 const router = 7
 
-// newCore returns a core for n engines of the data sheet.
+// newCore returns a core for n engines with the data sheet's figures.
 func newCore(n int) *dispatch.Core {
 	c := dispatch.New(dispatch.DefaultConfig(true))
 	c.SetMembers(time.Second, engines(n))
@@ -24,17 +24,17 @@
 	var members []dispatch.Member
 	for i := range n {
 		members = append(members, dispatch.Member{
-			Incarnation: named(fmt.Sprintf("e%d", i)), Slots: 64, KVTokens: 232000, CopyPerToken: 4767 * time.Nanosecond,
+			Incarnation: incarnation(fmt.Sprintf("e%d", i)), Slots: 64, KVTokens: 232000, CopyPerToken: 4767 * time.Nanosecond,
 		})
 	}
 	return members
 }
 
-// named is an upstream that says nothing of its start.
-func named(id string) dispatch.Incarnation { return dispatch.Incarnation{ID: id} }
+// incarnation returns an incarnation with unknown start.
+func incarnation(id string) dispatch.Incarnation { return dispatch.Incarnation{ID: id} }
 
-// request is a question of a session: a shared part of 6,000 tokens and a part
-// of its own.
+// request returns a request of a session, with a shared part of 6,000 tokens and a part of
+// its own.
 func request(seq uint64, team string, session uint64) dispatch.Request {
 	return dispatch.Request{
 		Ticket: dispatch.Ticket{Router: router, Seq: seq}, Team: team, Prompt: 9000, Output: 50,
@@ -43,7 +43,7 @@
 	}
 }
 
-// verdicts indexes decisions by their request.
+// verdicts indexes decisions by sequence number.
 func verdicts(ds []dispatch.Decision) map[uint64]dispatch.Decision {
 	out := map[uint64]dispatch.Decision{}
 	for _, d := range ds {
@@ -67,9 +67,9 @@
 	g.Expect(second.CopyFrom).To(BeEmpty())
 }
 
-// The caller would wait for its deadline and get nothing. More comes in at once
-// than the engine can read within the target: what can't be in time is refused
-// when it comes, with the time at which it would be served.
+// Guards against callers that wait until their deadline and get nothing. If more arrives
+// at once than the engine can prefill within the target, the excess is refused on
+// submission, with the predicted time until it would be served.
 func TestWhatCannotBeServedInTimeIsRefusedAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	c := newCore(1)
@@ -89,8 +89,8 @@
 	g.Expect(refused).To(BeNumerically("<", 30))
 }
 
-// A request that waits must get its answer before its target: either it goes to
-// an engine or it is refused as soon as that is certain, never silently dropped.
+// Guards against queued requests without a decision: each one is sent, or refused as soon
+// as it certainly misses its target.
 func TestEveryWaitEndsInADecision(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(1, 4).Draw(rt, "engines")
@@ -98,7 +98,7 @@
 		now := 2 * time.Second
 		state := map[uint64]dispatch.Verdict{}
 		sent := map[uint64]time.Duration{}
-		note := func(ds []dispatch.Decision) {
+		record := func(ds []dispatch.Decision) {
 			for _, d := range ds {
 				if state[d.Ticket.Seq] == dispatch.Refuse {
 					rt.Fatalf("request %d: decision after a refusal", d.Ticket.Seq)
@@ -112,91 +112,90 @@
 		for seq := range uint64(rapid.IntRange(1, 60).Draw(rt, "requests")) {
 			now += time.Duration(rapid.IntRange(0, 60).Draw(rt, "gap")) * time.Millisecond
 			team := fmt.Sprint("t", rapid.IntRange(0, 3).Draw(rt, "team"))
-			note(c.Submit(now, request(seq, team, uint64(rapid.IntRange(0, 5).Draw(rt, "session")))))
-			note(c.Tick(now))
+			record(c.Submit(now, request(seq, team, uint64(rapid.IntRange(0, 5).Draw(rt, "session")))))
+			record(c.Tick(now))
 			for s, at := range sent {
 				if now-at > 250*time.Millisecond {
-					note(c.Started(now, ticket(s)))
-					note(c.Done(now, ticket(s), dispatch.Served, now-at))
+					record(c.Started(now, ticket(s)))
+					record(c.Done(now, ticket(s), dispatch.Served, now-at))
 					delete(sent, s)
 				}
 			}
 		}
 		for range 400 {
 			now += 10 * time.Millisecond
-			note(c.Tick(now))
+			record(c.Tick(now))
 			for s := range sent {
-				note(c.Done(now, ticket(s), dispatch.Served, time.Second))
+				record(c.Done(now, ticket(s), dispatch.Served, time.Second))
 				delete(sent, s)
 			}
 		}
 		for seq, v := range state {
 			if v == dispatch.Wait {
-				rt.Fatalf("request %d waits for ever", seq)
+				rt.Fatalf("request %d waits forever", seq)
 			}
 		}
 	})
 }
 
-// A small team's request would be refused because of a large one: a flood fills
-// the engines in every gap. The small team keeps within its share, so its
-// requests are served all the same, and the flood is what is refused.
+// Guards against refusals of a small team because a flood fills the engines in every gap.
+// The small team is within its share and must be served; the flood is refused.
 func TestSmallTeamIsServedBesideAFlood(t *testing.T) {
 	g := NewWithT(t)
 	c := newCore(2)
 	c.SetCapacity(40000)
-	run := newRun(c)
-	for range 800 { // eight seconds
+	run := newSimulation(c)
+	for range 800 { // 8 s
 		run.step(10 * time.Millisecond)
 		for range 2 {
-			run.ask("flood", uint64(run.seq%40))
+			run.submit("flood", uint64(run.seq%40))
 		}
 		if run.now%(200*time.Millisecond) == 0 {
-			run.ask("small", 1000)
+			run.submit("small", 1000)
 		}
 	}
-	small := float64(run.served["small"]) / float64(run.asked["small"])
-	flood := float64(run.served["flood"]) / float64(run.asked["flood"])
-	g.Expect(small).To(BeNumerically(">", 0.8), "small teams' part served; the flood's is %.2f", flood)
+	small := float64(run.served["small"]) / float64(run.submitted["small"])
+	flood := float64(run.served["flood"]) / float64(run.submitted["flood"])
+	g.Expect(small).To(BeNumerically(">", 0.8), "served fraction of the small team; that of the flood is %.2f", flood)
 	g.Expect(flood).To(BeNumerically("<", 0.3))
-	g.Expect(run.idle()).To(BeNumerically("<", 0.25), "part of the time that an engine had nothing unread")
+	g.Expect(run.idleFraction()).To(BeNumerically("<", 0.25), "fraction of the time in which an engine had no backlog")
 }
 
-// Two floods get like parts: neither starves the other by being denser.
+// Guards against a flood that starves another one by its higher request rate.
 func TestTwoFloodsShareWhatIsLeft(t *testing.T) {
 	g := NewWithT(t)
 	c := newCore(2)
 	c.SetCapacity(40000)
-	run := newRun(c)
+	run := newSimulation(c)
 	for range 1200 {
 		run.step(10 * time.Millisecond)
 		for range 3 {
-			run.ask("dense", uint64(run.seq%40))
+			run.submit("dense", uint64(run.seq%40))
 		}
 		if run.now%(20*time.Millisecond) == 0 {
-			run.ask("thin", uint64(100+run.seq%40))
+			run.submit("thin", uint64(100+run.seq%40))
 		}
 	}
 	g.Expect(run.served["thin"] * 2).To(BeNumerically(">=", run.served["dense"]))
 }
 
-// All routers have been replaced: the new home knows no caches and no shares.
-// It must not refuse everything on the word of accounts that have just begun.
+// Guards against a new home that refuses everything because its accounts have just begun.
+// All routers were replaced, so it has no record of caches and shares.
 func TestSharesOfANewHomeDoNotCollapse(t *testing.T) {
 	g := NewWithT(t)
 	c := newCore(4)
 	c.SetCapacity(100000)
-	run := newRun(c)
+	run := newSimulation(c)
 	for range 200 {
 		run.step(10 * time.Millisecond)
-		run.ask(fmt.Sprint("t", run.seq%3), uint64(run.seq%20))
+		run.submit(fmt.Sprint("t", run.seq%3), uint64(run.seq%20))
 	}
 	part := float64(run.served["t0"]+run.served["t1"]+run.served["t2"]) / float64(run.seq)
 	g.Expect(part).To(BeNumerically(">", 0.2))
 }
 
-// The answer to a question was lost; the router asks again. The request must not
-// take room twice, and the same upstream is told again.
+// Guards against a request that takes two slots because its router submitted it again
+// after a lost reply. The decision must name the same upstream.
 func TestAskingAgainRepeatsTheDecision(t *testing.T) {
 	g := NewWithT(t)
 	c := newCore(2)
@@ -209,12 +208,12 @@
 	g.Expect(c.Done(now+time.Second, ticket(1), dispatch.Served, time.Second)).To(BeEmpty())
 }
 
-// A router died with requests at an engine, and the reports of their ends with
-// it. The engine must not look full for ever.
+// Guards against an engine that stays full because a router crashed and the completions of
+// its requests were never reported.
 func TestLostEndsExpire(t *testing.T) {
 	g := NewWithT(t)
 	c := dispatch.New(dispatch.DefaultConfig(false))
-	c.SetMembers(time.Second, []dispatch.Member{{Incarnation: named("s"), Slots: 1}})
+	c.SetMembers(time.Second, []dispatch.Member{{Incarnation: incarnation("s"), Slots: 1}})
 	r := dispatch.Request{Ticket: ticket(1), Target: 150 * time.Millisecond, Timeout: time.Second}
 	g.Expect(c.Submit(2*time.Second, r)[0].Verdict).To(Equal(dispatch.Send))
 	r.Ticket = ticket(2)
@@ -222,27 +221,27 @@
 	g.Expect(c.Submit(5*time.Second, r)[0].Verdict).To(Equal(dispatch.Send))
 }
 
-// An upstream that can't be reached gets no work for a while, longer each time,
-// and is tried again.
-func TestUnreachableUpstreamIsLeftAloneForAWhile(t *testing.T) {
+// Guards against requests to an unreachable upstream, and against an upstream that is
+// never tried again. The ban doubles each time.
+func TestUnreachableUpstreamIsBannedTemporarily(t *testing.T) {
 	g := NewWithT(t)
 	c := newCore(2)
 	now := 2 * time.Second
-	bad := c.Submit(now, request(1, "a", 5))[0].Upstream
+	unreachable := c.Submit(now, request(1, "a", 5))[0].Upstream
 	c.Done(now, ticket(1), dispatch.Unreachable, 0)
-	g.Expect(c.Submit(now, request(2, "a", 5))[0].Upstream).NotTo(Equal(bad))
-	seen := false
+	g.Expect(c.Submit(now, request(2, "a", 5))[0].Upstream).NotTo(Equal(unreachable))
+	retried := false
 	for seq := uint64(3); seq < 40; seq++ {
 		now += 200 * time.Millisecond
 		d := verdicts(c.Submit(now, request(seq, "a", seq+100)))[seq]
-		seen = seen || d.Upstream == bad
+		retried = retried || d.Upstream == unreachable
 		c.Done(now+100*time.Millisecond, ticket(seq), dispatch.Served, 100*time.Millisecond)
 	}
-	g.Expect(seen).To(BeTrue())
+	g.Expect(retried).To(BeTrue())
 }
 
-// The second request of a session would read the session's part again, because
-// the first is still reading it: it waits until that has begun to answer.
+// Guards against prefilling a session's part twice: a second request waits until the first
+// one, which is prefilling the part, has its first byte.
 func TestPartThatIsBeingReadIsWaitedFor(t *testing.T) {
 	g := NewWithT(t)
 	c := newCore(1)
@@ -253,8 +252,8 @@
 	g.Expect(ds[2].Verdict).To(Equal(dispatch.Send))
 }
 
-// Callers would all be refused: the engine hangs on the first request of a
-// session, and the others wait for its part to be read.
+// Guards against the refusal of a whole session because its first request hangs at the
+// engine while the others wait for its prefill.
 func TestPartOfAHungRequestIsNotWaitedForUntilTheTarget(t *testing.T) {
 	g := NewWithT(t)
 	c := newCore(1)
@@ -272,19 +271,21 @@
 	g.Expect(sent).To(BeTrue())
 }
 
-// A home that has just taken over knows nothing; the engines say what they keep.
+// Guards against sessions spread by a new home: it has no record of the caches until the
+// engines report what they have cached.
 func TestSeededHomeKeepsSessionsTogether(t *testing.T) {
 	g := NewWithT(t)
 	c := newCore(6)
-	c.SeedCache(named("e4"), []dispatch.Part{{ID: 5, Tokens: 6000}})
+	c.SeedCache(incarnation("e4"), []dispatch.Part{{ID: 5, Tokens: 6000}})
 	g.Expect(c.Submit(2*time.Second, request(1, "a", 5))[0].Upstream).To(Equal("e4"))
 }
 
-// A busy engine's session is served by another, which copies the parts.
+// Guards against a session bound to a busy engine: another engine copies the parts and
+// serves it.
 func TestBusySessionIsCopiedToAnIdleEngine(t *testing.T) {
 	g := NewWithT(t)
 	c := newCore(2)
-	c.SeedCache(named("e0"), []dispatch.Part{{ID: 5, Tokens: 6000}})
+	c.SeedCache(incarnation("e0"), []dispatch.Part{{ID: 5, Tokens: 6000}})
 	now := 2 * time.Second
 	var other dispatch.Decision
 	for seq := range uint64(12) {
@@ -313,7 +314,7 @@
 		g.Expect(left.Window).To(BeNumerically("<", 1))
 		g.Expect(left.Recent).To(BeNumerically("<", 1))
 
-		// One that has begun ran, whatever ends it.
+		// A request that has started is charged whatever its outcome.
 		g.Expect(c.Submit(now, request(2, "b", 6))[0].Verdict).To(Equal(dispatch.Send))
 		c.Started(now, ticket(2))
 		c.Done(now, ticket(2), o, time.Second)
--- a/dispatch/members.go
+++ b/dispatch/members.go
@@ -12,7 +12,7 @@
 // An upstream that restarted under the same ID is a new upstream: its cache, backlog,
 // running requests, cost factor and failure rate are reset. Otherwise requests would be
 // sent to an upstream that has lost their cached parts, or wait behind work that is no
-// longer running. Late completions of the earlier incarnation are counted there.
+// longer running. Late completions of the earlier incarnation don't affect the new one.
 func (c *Core) SetMembers(now time.Duration, members []Member) []Decision {
 	next := make([]*upstream, 0, len(members))
 	byID := make(map[string]*upstream, len(members))
--- a/dispatch/plain_service_test.go
+++ b/dispatch/plain_service_test.go
@@ -13,188 +13,190 @@
 	"github.com/aspenswitch/aspenswitch/dispatch"
 )
 
-// plain drives a core for upstreams of a plain service, in virtual time.
-type plain struct {
-	c       *dispatch.Core
-	rnd     *rand.Rand
-	now     time.Duration
-	seq     uint64
-	ends    plainEnds
-	askedAt map[uint64]time.Duration
-	waits   []time.Duration
-	refused int
-	sentTo  map[string]int
-	// fails is the part of an upstream's requests that fail.
-	fails func(upstream string) float64
-	// endless is the part of the requests that outlast their deadline; a hung
-	// upstream answers nothing.
-	endless float64
-	hung    string
+// serviceSimulation drives a core for upstreams of a plain service in virtual time.
+type serviceSimulation struct {
+	c           *dispatch.Core
+	rnd         *rand.Rand
+	now         time.Duration
+	seq         uint64
+	completions completionHeap
+	submittedAt map[uint64]time.Duration
+	waits       []time.Duration
+	refused     int
+	sentTo      map[string]int
+	// failureRate returns the fraction of an upstream's requests that fail.
+	failureRate func(upstream string) float64
+	// timeoutRate is the fraction of requests that run past their deadline; hungUpstream
+	// never answers.
+	timeoutRate  float64
+	hungUpstream string
 }
 
-// timeLimit is the deadline of requests in these tests.
-const timeLimit = 400 * time.Millisecond
+// requestTimeout is the timeout of all requests.
+const requestTimeout = 400 * time.Millisecond
 
-// plainEnd is when a request at an upstream ends.
-type plainEnd struct {
+// completion is the end of a request at an upstream.
+type completion struct {
 	at   time.Duration
 	seq  uint64
 	took time.Duration
 	o    dispatch.Outcome
 }
 
-type plainEnds []plainEnd
+type completionHeap []completion
 
-func (e plainEnds) Len() int           { return len(e) }
-func (e plainEnds) Less(i, j int) bool { return e[i].at < e[j].at }
-func (e plainEnds) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *plainEnds) Push(x any)        { *e = append(*e, x.(plainEnd)) }
-func (e *plainEnds) Pop() any {
-	last := (*e)[len(*e)-1]
-	*e = (*e)[:len(*e)-1]
+func (h completionHeap) Len() int           { return len(h) }
+func (h completionHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h completionHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *completionHeap) Push(x any)        { *h = append(*h, x.(completion)) }
+func (h *completionHeap) Pop() any {
+	last := (*h)[len(*h)-1]
+	*h = (*h)[:len(*h)-1]
 	return last
 }
 
-func newPlain(upstreams, slots int) *plain {
+func newServiceSimulation(upstreams, slots int) *serviceSimulation {
 	c := dispatch.New(dispatch.DefaultConfig(false))
 	var members []dispatch.Member
 	for i := range upstreams {
-		members = append(members, dispatch.Member{Incarnation: named(fmt.Sprint("p", i)), Slots: slots})
+		members = append(members, dispatch.Member{Incarnation: incarnation(fmt.Sprint("p", i)), Slots: slots})
 	}
 	c.SetMembers(0, members)
-	return &plain{
-		c: c, rnd: rand.New(rand.NewPCG(1, 1)), askedAt: map[uint64]time.Duration{}, sentTo: map[string]int{},
-		fails: func(string) float64 { return 0 },
+	return &serviceSimulation{
+		c: c, rnd: rand.New(rand.NewPCG(1, 1)), submittedAt: map[uint64]time.Duration{}, sentTo: map[string]int{},
+		failureRate: func(string) float64 { return 0 },
 	}
 }
 
-// serviceTime is 35 ms in the mean: 30 at the upstream and the way there.
-func (p *plain) serviceTime() time.Duration {
+// serviceTime draws a service time with a mean of 35 ms: 30 ms at the upstream plus
+// network latency.
+func (s *serviceSimulation) serviceTime() time.Duration {
 	const mean, spread = 35, 0.5
-	ms := mean * math.Exp(spread*p.rnd.NormFloat64()-spread*spread/2)
+	ms := mean * math.Exp(spread*s.rnd.NormFloat64()-spread*spread/2)
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-func (p *plain) take(ds []dispatch.Decision) {
+func (s *serviceSimulation) handle(ds []dispatch.Decision) {
 	for _, d := range ds {
 		switch d.Verdict {
 		case dispatch.Refuse:
-			p.refused++
+			s.refused++
 		case dispatch.Send:
-			p.waits = append(p.waits, p.now-p.askedAt[d.Ticket.Seq])
-			p.sentTo[d.Upstream]++
-			took := p.serviceTime()
+			s.waits = append(s.waits, s.now-s.submittedAt[d.Ticket.Seq])
+			s.sentTo[d.Upstream]++
+			took := s.serviceTime()
 			o := dispatch.Served
-			if p.rnd.Float64() < p.fails(d.Upstream) {
+			if s.rnd.Float64() < s.failureRate(d.Upstream) {
 				o = dispatch.Failed
 			}
-			if p.rnd.Float64() < p.endless || d.Upstream == p.hung {
-				o, took = dispatch.TimedOut, timeLimit
+			if s.rnd.Float64() < s.timeoutRate || d.Upstream == s.hungUpstream {
+				o, took = dispatch.TimedOut, requestTimeout
 			}
-			heap.Push(&p.ends, plainEnd{at: p.now + took, seq: d.Ticket.Seq, took: took, o: o})
+			heap.Push(&s.completions, completion{at: s.now + took, seq: d.Ticket.Seq, took: took, o: o})
 		}
 	}
 }
 
-// play asks so many times a second, for a while.
-func (p *plain) play(perSecond float64, length time.Duration) {
-	until := p.now + length
-	next := p.now
-	for tick := p.now; tick < until; tick += 10 * time.Millisecond {
+// run submits requests at a mean rate for a duration.
+func (s *serviceSimulation) run(perSecond float64, duration time.Duration) {
+	until := s.now + duration
+	next := s.now
+	for tick := s.now; tick < until; tick += 10 * time.Millisecond {
 		for {
-			end, ask := time.Duration(math.MaxInt64), next
-			if len(p.ends) > 0 {
-				end = p.ends[0].at
+			end, submit := time.Duration(math.MaxInt64), next
+			if len(s.completions) > 0 {
+				end = s.completions[0].at
 			}
-			if min(end, ask) > tick {
+			if min(end, submit) > tick {
 				break
 			}
-			if end <= ask {
-				e := heap.Pop(&p.ends).(plainEnd)
-				p.now = e.at
-				p.take(p.c.Done(p.now, ticket(e.seq), e.o, e.took))
+			if end <= submit {
+				e := heap.Pop(&s.completions).(completion)
+				s.now = e.at
+				s.handle(s.c.Done(s.now, ticket(e.seq), e.o, e.took))
 				continue
 			}
-			p.now = ask
-			p.seq++
-			p.askedAt[p.seq] = p.now
-			p.take(p.c.Submit(p.now, dispatch.Request{Ticket: ticket(p.seq), Team: "a", Target: 150 * time.Millisecond, Timeout: timeLimit}))
-			next += time.Duration(p.rnd.ExpFloat64() / perSecond * float64(time.Second))
+			s.now = submit
+			s.seq++
+			s.submittedAt[s.seq] = s.now
+			s.handle(s.c.Submit(s.now, dispatch.Request{Ticket: ticket(s.seq), Team: "a", Target: 150 * time.Millisecond, Timeout: requestTimeout}))
+			next += time.Duration(s.rnd.ExpFloat64() / perSecond * float64(time.Second))
 		}
-		p.now = tick
-		p.take(p.c.Tick(p.now))
+		s.now = tick
+		s.handle(s.c.Tick(s.now))
 	}
 }
 
-// longWaits is the part of the requests that waited for longer than a usual service
-// time, or were refused.
-func (p *plain) longWaits() float64 {
+// longWaitFraction returns the fraction of requests that were refused or waited for longer
+// than a usual service time.
+func (s *serviceSimulation) longWaitFraction() float64 {
 	n := 0
-	for _, w := range p.waits {
+	for _, w := range s.waits {
 		if w > 40*time.Millisecond {
 			n++
 		}
 	}
-	return float64(n+p.refused) / float64(len(p.waits)+p.refused)
+	return float64(n+s.refused) / float64(len(s.waits)+s.refused)
 }
 
-// Handsets wait for stop confirmations while half of the slots are free: a few
-// answers of one upstream were failures of the application, which all upstreams
-// give alike, and requests queue for the others. Four upstreams with six slots at
-// six tenths of their capacity, one answer in twelve a failure.
+// Guards against requests that queue while half of the slots are free: an upstream
+// returned a few application errors, which all upstreams return alike, and its slots
+// stayed idle (handsets then waited for stop confirmations). Four upstreams with six slots
+// at 0.6 of their capacity, one answer in twelve an error.
 func TestUsualFailuresKeepNoSlotIdle(t *testing.T) {
 	g := NewWithT(t)
-	p := newPlain(4, 6)
-	p.fails = func(string) float64 { return 0.08 }
-	p.play(400, 20*time.Second)
-	g.Expect(p.longWaits()).To(BeNumerically("<", 0.002))
+	p := newServiceSimulation(4, 6)
+	p.failureRate = func(string) float64 { return 0.08 }
+	p.run(400, 20*time.Second)
+	g.Expect(p.longWaitFraction()).To(BeNumerically("<", 0.002))
 }
 
-// The same at four fifths of the capacity: requests wait for whichever slot comes
-// free first, not for the one that looked best when they came.
+// The same at 0.8 of the capacity: waiting requests must take the first free slot, not one
+// of the upstream that was best on submission.
 func TestWaitingRequestsTakeTheFirstFreeSlot(t *testing.T) {
 	g := NewWithT(t)
-	p := newPlain(4, 6)
-	p.play(550, 20*time.Second)
-	g.Expect(p.longWaits()).To(BeNumerically("<", 0.01))
+	p := newServiceSimulation(4, 6)
+	p.run(550, 20*time.Second)
+	g.Expect(p.longWaitFraction()).To(BeNumerically("<", 0.01))
 }
 
-// One upstream fails half of its requests and says that it is well. Others have
-// room, so it gets next to nothing beside what shows that it goes on failing.
-func TestFailingUpstreamIsLeftAlone(t *testing.T) {
+// Guards against requests sent to an upstream that fails half of them and reports itself
+// healthy. The others have room, so it should get few more requests than it takes to see
+// that it still fails.
+func TestFailingUpstreamGetsFewRequests(t *testing.T) {
 	g := NewWithT(t)
-	p := newPlain(4, 6)
-	p.fails = func(u string) float64 {
+	p := newServiceSimulation(4, 6)
+	p.failureRate = func(u string) float64 {
 		if u == "p2" {
 			return 0.45
 		}
 		return 0.04
 	}
-	p.play(300, 20*time.Second)
+	p.run(300, 20*time.Second)
 	g.Expect(float64(p.sentTo["p2"]) / float64(len(p.waits))).To(BeNumerically("<", 0.05))
-	g.Expect(p.longWaits()).To(BeNumerically("<", 0.01))
+	g.Expect(p.longWaitFraction()).To(BeNumerically("<", 0.01))
 }
 
-// Some requests outlast their route's time limit by far, at a sound upstream that
-// answers others meanwhile. If it were left alone for each of them, the others'
-// slots would not suffice and callers' answers came late.
+// Guards against bans because of requests that run far past their route's timeout at a
+// healthy upstream. If each of them banned the upstream, the slots of the others would not
+// suffice and answers would be late.
 func TestLongRequestsKeepNoUpstreamIdle(t *testing.T) {
 	g := NewWithT(t)
-	p := newPlain(4, 6)
-	p.endless = 0.006
-	p.play(400, 20*time.Second)
-	g.Expect(p.longWaits()).To(BeNumerically("<", 0.01))
+	p := newServiceSimulation(4, 6)
+	p.timeoutRate = 0.006
+	p.run(400, 20*time.Second)
+	g.Expect(p.longWaitFraction()).To(BeNumerically("<", 0.01))
 }
 
-// An upstream hangs: nothing comes from it any more. After the first request that
-// it left unanswered it gets no work for a while.
-func TestHungUpstreamIsLeftAlone(t *testing.T) {
+// Guards against requests sent to a hung upstream: after the first request without an
+// answer it must be banned.
+func TestHungUpstreamIsBanned(t *testing.T) {
 	g := NewWithT(t)
-	p := newPlain(4, 6)
-	p.play(300, 2*time.Second)
-	p.hung = "p0"
-	p.play(300, 500*time.Millisecond)
+	p := newServiceSimulation(4, 6)
+	p.run(300, 2*time.Second)
+	p.hungUpstream = "p0"
+	p.run(300, 500*time.Millisecond)
 	before := p.sentTo["p0"]
-	p.play(300, 400*time.Millisecond)
+	p.run(300, 400*time.Millisecond)
 	g.Expect(p.sentTo["p0"]).To(Equal(before))
 }
--- a/dispatch/restart_test.go
+++ b/dispatch/restart_test.go
@@ -9,17 +9,15 @@
 	"github.com/aspenswitch/aspenswitch/dispatch"
 )
 
-// restarted is an engine that has started again under its ID.
+// restarted returns an engine that restarted under the same ID.
 func restarted(m dispatch.Member, at int64) dispatch.Member {
 	m.Started = at
 	return m
 }
 
-// An engine crashes with work in hand and is back under its ID before anybody saw it
-// leave. What was believed of it is of its earlier start: nothing of the session is
-// kept there any more, nothing is ahead of new requests, and it isn't left alone for
-// failures of before. Without this its callers would wait behind work that nobody does.
-func TestRestartUnderTheSameIDEndsWhatWasBelieved(t *testing.T) {
+// Guards against callers that wait behind work lost in a crash. An engine restarts under
+// its ID before it is seen leaving: its cache, backlog and ban must be reset.
+func TestRestartUnderTheSameIDResetsTheModel(t *testing.T) {
 	g := NewWithT(t)
 	members := engines(2)
 	members[0].Started, members[1].Started = 1000, 1000
@@ -32,7 +30,8 @@
 	c.Done(now, ticket(2), dispatch.Unreachable, 0)
 	g.Expect(c.State(now).Banned).To(Equal(1))
 
-	// Its clock was set back meanwhile: an earlier moment is another start as well.
+	// The clock was set back meanwhile; an earlier start time is a different start as
+	// well.
 	c.SetMembers(now, []dispatch.Member{restarted(members[0], 900), restarted(members[1], 2000)})
 
 	g.Expect(c.State(now).Running).To(BeZero())
@@ -40,13 +39,12 @@
 	g.Expect(c.State(now).Banned).To(BeZero())
 	d := c.Submit(now, request(3, "a", 5))[0]
 	g.Expect(d.Verdict).To(Equal(dispatch.Send))
-	g.Expect(d.CopyFrom).To(BeEmpty(), "no engine keeps the session any more")
+	g.Expect(d.CopyFrom).To(BeEmpty(), "no engine has the session cached")
 }
 
-// The end of a request of the earlier start comes after the restart, as does what a
-// router says that it holds there and what the engine kept then. None of it touches the
-// accounts of the new start.
-func TestLateWordOfAnEarlierStartIsPassedOver(t *testing.T) {
+// Guards against late reports about an earlier incarnation that change the accounts of the
+// new one: a completion, a request held by a router, and cached parts.
+func TestLateReportsOfAnEarlierIncarnationAreIgnored(t *testing.T) {
 	g := NewWithT(t)
 	members := engines(1)
 	members[0].Started = 1000
@@ -69,15 +67,15 @@
 	c.Done(now, ticket(2), dispatch.Served, 0)
 	g.Expect(before).To(BeNumerically(">", 0))
 	cold := c.Submit(now, request(4, "a", 8))[0]
-	g.Expect(cold.PredictedFirstByte).To(BeNumerically(">", 150*time.Millisecond), "6,000 tokens of the session are read again")
+	g.Expect(cold.PredictedFirstByte).To(BeNumerically(">", 150*time.Millisecond), "6,000 tokens of the session are prefilled again")
 }
 
-// A plain service's upstream is gone while requests wait for the others. The end of its
-// last request must not draw the waiting ones to it: they would be sent to nobody.
-func TestEndAtAnUpstreamThatLeftTakesNothingOver(t *testing.T) {
+// Guards against requests sent to an upstream that was removed: the completion of its last
+// request must not make it steal requests queued for the others.
+func TestCompletionAtARemovedUpstreamStealsNoRequests(t *testing.T) {
 	g := NewWithT(t)
 	c := dispatch.New(dispatch.DefaultConfig(false))
-	one, two := dispatch.Member{Incarnation: named("p1"), Slots: 1}, dispatch.Member{Incarnation: named("p2"), Slots: 1}
+	one, two := dispatch.Member{Incarnation: incarnation("p1"), Slots: 1}, dispatch.Member{Incarnation: incarnation("p2"), Slots: 1}
 	c.SetMembers(time.Second, []dispatch.Member{one, two})
 	now := 2 * time.Second
 	var sent []dispatch.Decision
@@ -97,9 +95,9 @@
 	}
 }
 
-// An upstream that says nothing of its start isn't taken for another one each time that
-// it does or doesn't.
-func TestUpstreamThatDoesNotTellItsStartStaysTheSame(t *testing.T) {
+// Guards against a reset of the model each time an upstream with unknown start time
+// reports one, or doesn't.
+func TestUpstreamWithUnknownStartStaysTheSame(t *testing.T) {
 	g := NewWithT(t)
 	c := newCore(1)
 	now := 2 * time.Second
--- a/dispatch/shares.go
+++ b/dispatch/shares.go
@@ -93,8 +93,7 @@
 	// waitingPeriod is how long after a refusal a team counts as waiting for service.
 	waitingPeriod = time.Second
 	// waitingServedFraction is the fraction of its demand below which a team with a
-	// refused request counts as waiting. A single refused request does not make a team
-	// wait.
+	// refused request counts as waiting. A single refused request is not enough.
 	waitingServedFraction = 0.6
 )
 
--- a/dispatch/upstream.go
+++ b/dispatch/upstream.go
@@ -16,7 +16,7 @@
 	// CopyPerToken is the time to copy a cached token from another engine, or 0 if the
 	// upstream can't copy.
 	CopyPerToken time.Duration
-	// WarmUntil is the reported end of the warm-up.
+	// WarmUntil is the end of the warm-up, as far as known.
 	WarmUntil time.Duration
 	// WarmUpDuration is the length of a warm-up after a restart, and WarmUpRate the
 	// requests per second that this core may send meanwhile. If WarmUpDuration is 0, there
--- a/dispatch/warmup_test.go
+++ b/dispatch/warmup_test.go
@@ -9,7 +9,8 @@
 	"github.com/aspenswitch/aspenswitch/dispatch"
 )
 
-// warmingEngines are engines with a warm-up, of which the first is warming up until a moment.
+// warmingEngines returns engines with a warm-up, the first of which is warming up until a
+// given time.
 func warmingEngines(n int, until time.Duration) []dispatch.Member {
 	members := engines(n)
 	for i := range members {
@@ -19,9 +20,9 @@
 	return members
 }
 
-// sendsTo asks for short requests every few milliseconds and returns when the first engine got
-// one.
-func sendsTo(c *dispatch.Core, now *time.Duration, span time.Duration, seq *uint64) (sends []time.Duration) {
+// sendTimes submits a short request every 5 ms and returns when requests were sent to the
+// first engine.
+func sendTimes(c *dispatch.Core, now *time.Duration, span time.Duration, seq *uint64) (sends []time.Duration) {
 	for end := *now + span; *now < end; *now += 5 * time.Millisecond {
 		*seq++
 		r := request(*seq, "a", 1000+*seq)
@@ -37,17 +38,18 @@
 	return sends
 }
 
-// Guards against a second of grants on top of a second of usual load when an engine turns cold.
-func TestEngineThatTurnsColdHasItsLastSecondBehindIt(t *testing.T) {
+// Guards against a second of granted requests on top of a second of usual load when an
+// engine turns cold.
+func TestWarmUpBoundCountsTheSecondBeforeAnEngineTurnsCold(t *testing.T) {
 	g := NewWithT(t)
 	c := dispatch.New(dispatch.DefaultConfig(true))
 	now, seq := 2*time.Second, uint64(0)
 	c.SetMembers(now, warmingEngines(1, 0))
 	c.GrantWarmUp(true)
-	g.Expect(sendsTo(c, &now, 2*time.Second, &seq)).NotTo(BeEmpty())
+	g.Expect(sendTimes(c, &now, 2*time.Second, &seq)).NotTo(BeEmpty())
 	turned := now
 	c.SetMembers(now, warmingEngines(1, now+3*time.Second))
-	sends := sendsTo(c, &now, 2*time.Second, &seq)
+	sends := sendTimes(c, &now, 2*time.Second, &seq)
 	g.Expect(sends).NotTo(BeEmpty())
 	g.Expect(sends[0] - turned).To(BeNumerically(">=", 900*time.Millisecond))
 }
@@ -67,7 +69,7 @@
 	g.Expect(c.Submit(now, request(2, "a", 5))[0].Upstream).To(Equal("e1"))
 }
 
-// Guards against a rush to an engine that restarted while it could not be reached.
+// Guards against a burst of requests to an engine that restarted while it was unreachable.
 func TestUnreachableEngineIsPresumedCold(t *testing.T) {
 	g := NewWithT(t)
 	c := dispatch.New(dispatch.DefaultConfig(true))
@@ -78,7 +80,7 @@
 	g.Expect(c.Submit(now, request(seq, "a", 5))[0].Verdict).To(Equal(dispatch.Send))
 	c.Done(now, ticket(seq), dispatch.Unreachable, 0)
 	now += time.Second
-	sends := sendsTo(c, &now, time.Second, &seq)
+	sends := sendTimes(c, &now, time.Second, &seq)
 	g.Expect(len(sends)).To(BeNumerically("<=", 7))
 	g.Expect(sends).NotTo(BeEmpty())
 }
