--- a/fleet/ask.go
+++ b/fleet/ask.go
@@ -8,130 +8,132 @@
 	"github.com/aspenswitch/aspenswitch/obs"
 )
 
-// sessionOf is the last part of a prompt that other requests share, 0 if none.
-func sessionOf(parts []dispatch.Part) uint64 {
+// sessionID returns the ID of the last part of a prompt that other requests share, 0 if
+// there is none.
+func sessionID(parts []dispatch.Part) uint64 {
 	if len(parts) < 2 {
 		return 0
 	}
 	return parts[len(parts)-2].ID
 }
 
-// ask asks the group's home, which may be this router.
-func (n *Node) ask(now boottime.Time, p *pending) {
+// requestPlacement asks the home of the group, which may be this router, for a decision.
+func (n *Node) requestPlacement(now boottime.Time, p *pending) {
 	p.home = n.homeOf(now, p.group)
-	p.homes++
-	p.again = now.Add(n.cfg.PlacementRetryInterval)
+	p.homesAsked++
+	p.retryAt = now.Add(n.cfg.PlacementRetryInterval)
 	if p.home == nil {
 		n.deliver(now, p.key, p.group.core.Ask(time.Duration(now), p.request))
 		return
 	}
-	n.send(p.home.addr, &packet{Ask: n.newAsk(p.key, p.request)})
+	n.send(p.home.addr, &packet{Ask: n.newPlaceRequest(p.key, p.request)})
 }
 
-// confirmEvery is how often a router asks whether its request still waits: the
-// decision may have been lost on the way.
-const confirmEvery = 250 * time.Millisecond
+// confirmInterval is the time after which a placement request that the home has queued is
+// sent again, because the decision may have been lost.
+const confirmInterval = 250 * time.Millisecond
 
-// retryAsks asks again where no answer came. A request must not wait for a router
-// that is gone.
-func (n *Node) retryAsks(now boottime.Time) {
+// retryPlacements sends unanswered placement requests again and handles their timeouts, so
+// that no request waits for a home that is gone.
+func (n *Node) retryPlacements(now boottime.Time) {
 	for _, p := range n.pending {
 		if p.home == nil {
 			continue
 		}
-		if !p.acked && now >= p.local {
-			n.unanswered(now, p)
+		if !p.acked && now >= p.timeoutAt {
+			n.handleTimeout(now, p)
 			continue
 		}
-		if now >= p.again {
-			p.again = now.Add(max(n.cfg.PlacementRetryInterval, 2*n.Lag()))
+		if now >= p.retryAt {
+			p.retryAt = now.Add(max(n.cfg.PlacementRetryInterval, 2*n.Lag()))
 			if p.acked {
-				p.again = now.Add(confirmEvery)
+				p.retryAt = now.Add(confirmInterval)
 				p.acked = false
-				p.local = now.Add(n.cfg.PlacementTimeout)
+				p.timeoutAt = now.Add(n.cfg.PlacementTimeout)
 			}
-			n.send(p.home.addr, &packet{Ask: n.newAsk(p.key, p.request)})
+			n.send(p.home.addr, &packet{Ask: n.newPlaceRequest(p.key, p.request)})
 		}
 	}
 }
 
 const (
-	// behindWait is how long a router that is late with reading waits for an answer.
-	// Longer, and the caller could have been served by another router meanwhile.
-	behindWait = 400 * time.Millisecond
-	// maxHomes is how many homes are asked for one request: the first, and the one
-	// that takes over from it.
-	maxHomes = 2
-	// isolatedAfter is the silence of all peers that means that this router is cut
-	// off. Members send several datagrams a second.
-	isolatedAfter = 300 * time.Millisecond
+	// lateReadTimeout is how long a router that is late with reading waits for a reply.
+	// In a longer time, another router could have served the caller.
+	lateReadTimeout = 400 * time.Millisecond
+	// maxHomesPerRequest is the number of homes that are asked to place one request: the
+	// first one and its successor.
+	maxHomesPerRequest = 2
+	// isolationTimeout is the time without contact to any peer after which this router
+	// counts as isolated. Each member sends several datagrams per second.
+	isolationTimeout = 300 * time.Millisecond
 )
 
-// unanswered decides what becomes of a request whose home doesn't answer.
+// handleTimeout handles a placement request whose home hasn't answered in time.
 //
-// Where each router decides by itself, or asks a second home beside the first, upstreams
-// get more than they can do, and teams are charged twice. A home whose answer hasn't been
-// read yet must not be taken for silent: it is only once all that had come when the answer
-// was due has been read. A router that is late with reading waits until then, or sends its
-// caller to another router; one that has read it asks the home that takes over; only one
-// that hears nobody decides.
-func (n *Node) unanswered(now boottime.Time, p *pending) {
+// If each router decided by itself, or asked a second home while the first one still
+// decides, upstreams would be overloaded and teams charged twice. A home therefore counts
+// as unresponsive only once this router has read all datagrams that had arrived when the
+// reply was due. A router that is late with reading waits for that, or refuses the request
+// so that its caller tries another router. Otherwise it asks the successor of the home, and
+// decides by itself only if it receives nothing from any peer.
+func (n *Node) handleTimeout(now boottime.Time, p *pending) {
 	switch {
-	case n.marks.readTo >= p.local:
-		n.leaveHome(now, p)
-	case now.Sub(p.asked) < behindWait:
-		n.sendMark(now)
+	case n.lagProbe.readUntil >= p.timeoutAt:
+		n.failOver(now, p)
+	case now.Sub(p.startedAt) < lateReadTimeout:
+		n.sendLagProbe(now)
 	default:
-		n.cancelAt(p.home, p.key, p.request.Ticket.Seq)
-		n.decided(now, dispatch.Decision{Ticket: p.request.Ticket, Verdict: dispatch.Refuse, Behind: true})
+		n.cancelPlacement(p.home, p.key, p.request.Ticket.Seq)
+		n.applyDecision(now, dispatch.Decision{Ticket: p.request.Ticket, Verdict: dispatch.Refuse, Behind: true})
 	}
 }
 
-// leaveHome turns to the next home of a request's group. The one before may still
-// hear the question, late; it is told that the request isn't its own any more, or
-// it would keep room for it until its deadline.
-func (n *Node) leaveHome(now boottime.Time, p *pending) {
-	silent := p.home
-	silent.doubted = true
+// failOver asks the next home of a request's group. The previous home may still receive the
+// placement request late, so the request is cancelled there: otherwise the home would
+// reserve capacity for it until the request's deadline.
+func (n *Node) failOver(now boottime.Time, p *pending) {
+	failed := p.home
+	failed.unresponsive = true
 	n.limited.Warn("home_silent", func(e *obs.Event) {
-		e.Str("group", p.group.key).Uint64("router", silent.id).Dur("after", now.Sub(p.asked)).Msg("home doesn't answer")
+		e.Str("group", p.group.key).Uint64("router", failed.id).Dur("after", now.Sub(p.startedAt)).Msg("home did not answer a placement request in time")
 	})
-	n.cancelAt(silent, p.key, p.request.Ticket.Seq)
-	if p.homes < maxHomes && now.Sub(n.heardAt) < isolatedAfter {
-		p.local = now.Add(n.cfg.PlacementTimeout)
-		n.ask(now, p)
+	n.cancelPlacement(failed, p.key, p.request.Ticket.Seq)
+	if p.homesAsked < maxHomesPerRequest && now.Sub(n.lastPeerContact) < isolationTimeout {
+		p.timeoutAt = now.Add(n.cfg.PlacementTimeout)
+		n.requestPlacement(now, p)
 		return
 	}
 	p.home = nil
 	n.deliver(now, p.key, p.group.core.Ask(time.Duration(now), p.request))
 }
 
-// cancelAt tells a home that it need not keep room for a request.
-func (n *Node) cancelAt(home *member, key groupKey, seq uint64) {
+// cancelPlacement cancels a request at a home, so that the home releases the capacity that
+// is reserved for it.
+func (n *Node) cancelPlacement(home *member, key groupKey, seq uint64) {
 	n.send(home.addr, &packet{Report: &report{
-		Kind: ended, Seq: seq, Service: key.service, Group: key.index, Outcome: dispatch.Withdrawn,
+		Kind: reportEnded, Seq: seq, Service: key.service, Group: key.index, Outcome: dispatch.Withdrawn,
 	}})
 }
 
-func (n *Node) newAsk(key groupKey, r dispatch.Request) *ask {
-	a := &ask{
-		Seq: r.Ticket.Seq, ID: r.ID, Service: key.service, Group: n.numberOf(key), Team: r.Team, Rank: r.Rank,
+func (n *Node) newPlaceRequest(key groupKey, r dispatch.Request) *placeRequest {
+	req := &placeRequest{
+		Seq: r.Ticket.Seq, ID: r.ID, Service: key.service, Group: n.groupNumberOf(key), Team: r.Team, Rank: r.Rank,
 		Prompt: r.Prompt, Output: r.Output, TargetMs: millis(r.Target), LeftMs: millis(r.Left),
 		Warm: r.Warm, Avoid: r.Avoid, Regions: r.Regions,
 	}
 	for _, p := range r.Parts {
-		a.Parts = append(a.Parts, part{ID: p.ID, Tokens: p.Tokens})
+		req.Parts = append(req.Parts, part{ID: p.ID, Tokens: p.Tokens})
 	}
-	return a
+	return req
 }
 
-func (a *ask) request(router uint64) dispatch.Request {
+func (req *placeRequest) toDispatch(router uint64) dispatch.Request {
 	r := dispatch.Request{
-		Ticket: dispatch.Ticket{Router: router, Seq: a.Seq}, ID: a.ID, Team: a.Team, Rank: a.Rank,
-		Prompt: a.Prompt, Output: a.Output, Target: duration(a.TargetMs), Left: duration(a.LeftMs),
-		Warm: a.Warm, Avoid: a.Avoid, Regions: a.Regions,
+		Ticket: dispatch.Ticket{Router: router, Seq: req.Seq}, ID: req.ID, Team: req.Team, Rank: req.Rank,
+		Prompt: req.Prompt, Output: req.Output, Target: duration(req.TargetMs), Left: duration(req.LeftMs),
+		Warm: req.Warm, Avoid: req.Avoid, Regions: req.Regions,
 	}
-	for _, p := range a.Parts {
+	for _, p := range req.Parts {
 		r.Parts = append(r.Parts, dispatch.Part{ID: p.ID, Tokens: p.Tokens})
 	}
 	return r
--- a/fleet/broken.go
+++ b/fleet/broken.go
@@ -34,9 +34,9 @@
 	n.sendBroken(hub, upstream, false)
 }
 
-// takeBroken records a broken upstream that a peer has sent. If it is a report to this router
+// handleBroken records a broken upstream that a peer has sent. If it is a report to this router
 // as the hub, and new, it is announced to all routers.
-func (n *Node) takeBroken(now boottime.Time, upstream uint32, announced bool) {
+func (n *Node) handleBroken(now boottime.Time, upstream uint32, announced bool) {
 	if n.quarantine.recordBroken(now, upstream) && !announced {
 		n.announceBroken(upstream)
 	}
--- a/fleet/cache_report.go
+++ b/fleet/cache_report.go
@@ -5,19 +5,19 @@
 	"github.com/aspenswitch/aspenswitch/registry"
 )
 
-// Kept is what an engine says that it keeps.
+// CacheReport lists the prompt parts that an engine has cached.
 type CacheReport struct {
-	// Started is when its process started, 0 if it doesn't say.
+	// Started is when the engine's process was started, 0 if the engine doesn't report it.
 	Started int64
 	Parts   []dispatch.Part
 }
 
-// from is the incarnation that said it. The one that was asked may have started again
-// meanwhile, or its entry may be older than its answer.
-func (k *CacheReport) from(asked *registry.Upstream) dispatch.Incarnation {
-	i := incarnation(asked)
-	if k.Started != 0 {
-		i.Started = k.Started
+// from returns the incarnation that sent the report. The engine may have been restarted
+// after the request, or its entry in the registry may be older than the report.
+func (r *CacheReport) from(upstream *registry.Upstream) dispatch.Incarnation {
+	i := incarnation(upstream)
+	if r.Started != 0 {
+		i.Started = r.Started
 	}
 	return i
 }
--- a/fleet/config.go
+++ b/fleet/config.go
@@ -11,68 +11,72 @@
 	"github.com/aspenswitch/aspenswitch/warmup"
 )
 
-// Config tunes a Node.
+// Config configures a Node.
 type Config struct {
-	// IP and Port are where the router hears its peers; all routers use the same
-	// port.
+	// IP and Port are the address at which the router receives datagrams and
+	// connections of its peers. All routers use the same port.
 	IP   string
 	Port int
 	// Domain is the failure domain.
 	Domain string
-	// Weight is the VM's share of a core: stronger VMs are home to more.
+	// Weight is the VM's processor share, in cores. Stronger VMs are the homes of more
+	// groups.
 	Weight float64
 	// Seeds are IPs of routers that may be up.
 	Seeds []string
-	// Beat is the least time between two heartbeats to a peer. BeatPerPeer
-	// stretches it with the fleet, so that a router sends a hundred a second at
-	// most.
+	// HeartbeatInterval is the minimum time between two heartbeats to a peer. In large
+	// fleets the interval is the number of members times HeartbeatIntervalPerPeer, so that
+	// a router sends at most a hundred heartbeats per second.
 	HeartbeatInterval, HeartbeatIntervalPerPeer time.Duration
-	// Ping is how often a router asks those that read the platform how fresh
-	// the state is.
+	// StatePollInterval is the time between two heartbeats by which a router asks its
+	// leader, or a reader of the platform, for the age of the published state.
 	StatePollInterval time.Duration
-	// LeadAge is how old a router's view of the platform may be for it to pass
-	// the view on to others.
+	// MaxLeaderStateAge is the maximum age of a router's view of the platform for it to
+	// distribute that view as a leader. Routers with older views lead only if all are older.
 	MaxLeaderStateAge time.Duration
-	// Hubs are the routers that all others hear often; homes are chosen among them.
-	// Twelve are enough for the homes of 950 upstreams (30 groups) at three each, with
-	// some lost. HubsInDomain more know the published state in each failure domain.
+	// Hubs is the number of routers that exchange frequent heartbeats with all others.
+	// Homes are chosen among them: 12 are enough for the 30 groups of 950 upstreams, at
+	// three groups each, if some hubs are lost. In addition, HubsPerDomain hubs in each
+	// failure domain distribute the published state.
 	Hubs, HubsPerDomain int
-	// Missed is how many heartbeats may fail to come before a peer isn't used.
+	// MissedHeartbeats is the number of heartbeat intervals without contact after which a
+	// peer is no longer used.
 	MissedHeartbeats int
-	// Forget is when a silent peer is no longer a member.
+	// ForgetAfter is the minimum time without contact after which a peer is removed from
+	// the members.
 	ForgetAfter time.Duration
-	// AskAgain is when an unanswered question is asked again, AskLocal when it is
-	// decided here. A home whose processor share is used up for the moment
-	// answers within a tenth of a second.
+	// PlacementRetryInterval is the time after which an unanswered placement request is
+	// sent again, PlacementTimeout the time after which the next home or this router decides.
+	// A home that has used up its processor share answers within a tenth of a second.
 	PlacementRetryInterval, PlacementTimeout time.Duration
-	// GroupSize is how many upstreams one home decides for, roughly.
+	// GroupSize is the maximum mean number of upstreams in a service's groups.
 	GroupSize int
-	// Cached asks an engine at an address which prompt parts it keeps; nil if
-	// engines can't be asked.
+	// CachedParts requests the cache report of the engine at an address. It may be nil.
 	CachedParts func(ctx context.Context, address string) (CacheReport, error)
-	// WarmUpLeft asks an upstream at its health path how much longer it warms up; nil if that
-	// can't be asked.
+	// WarmUpLeft requests the remaining warm-up time of an upstream at its health path. It
+	// may be nil.
 	WarmUpLeft func(ctx context.Context, u *registry.Upstream, healthPath string) (time.Duration, error)
-	// Seed of the process's random numbers, among them its incarnation: two
-	// processes must not have the same.
+	// RandomSeed seeds the random numbers of the process, including its incarnation. It must
+	// be unique among processes.
 	RandomSeed uint64
-	// Regions are the regions of failure domains.
+	// Regions maps failure domains to regions.
 	Regions map[string]string
-	// WarmUp bounds what is sent to upstreams that are warming up.
+	// WarmUp limits the requests to upstreams that are warming up.
 	WarmUp warmup.Policy
 	// Quarantine configures the detection of requests that crash upstreams.
 	Quarantine quarantine.Config
-	// Engine and Plain tune the decisions.
+	// Engine and Plain configure the placement for services with and without engines.
 	Engine, Plain dispatch.Config
 }
 
-// DefaultConfig returns the settings that a deployment changes.
+// DefaultConfig returns the default configuration. IP, Port, Domain, Weight and Seeds
+// depend on the deployment and aren't set.
 func DefaultConfig() Config {
 	return Config{
 		HeartbeatInterval:        250 * time.Millisecond,
 		HeartbeatIntervalPerPeer: 10 * time.Millisecond,
 		StatePollInterval:        200 * time.Millisecond,
-		MaxLeaderStateAge:        leadAge,
+		MaxLeaderStateAge:        defaultMaxLeaderStateAge,
 		Hubs:                     12, HubsPerDomain: 2,
 		MissedHeartbeats:       4,
 		ForgetAfter:            10 * time.Second,
--- a/fleet/doc.go
+++ b/fleet/doc.go
@@ -1,9 +1,9 @@
-// Package fleet is what the routers tell each other: who is alive, how fresh
-// the published state is, and where requests are placed.
+// Package fleet implements the protocol between routers: membership, the age of
+// the published state, and the placement of requests.
 //
-// Everything but the transfer of a whole state goes in UDP datagrams. A
-// connection that something on the way has forgotten goes silent for good; a
-// datagram has no such state, and every exchange here may be lost, doubled or
-// late: heartbeats replace each other, questions are asked again, and a question
-// that nobody answers is decided by the router that asked.
+// All messages but the transfer of a complete state are UDP datagrams. A TCP
+// connection whose state a middlebox has dropped stays silent for good; datagrams
+// have no such state. Every exchange tolerates loss, duplication and delay: a
+// heartbeat supersedes the ones before it, placement requests are retried, and a
+// request that no home answers is decided by the router that sent it.
 package fleet
--- a/fleet/dump.go
+++ b/fleet/dump.go
@@ -10,7 +10,7 @@
 	"github.com/aspenswitch/aspenswitch/dispatch"
 )
 
-// Dump is a node's state, for operators.
+// Dump is the state of a node for operators.
 type Dump struct {
 	Router        uint64 `json:"router"`
 	Domain        string `json:"failureDomain"`
@@ -19,7 +19,7 @@
 	Revision      int64  `json:"revision"`
 	AgeMs         int64  `json:"ageMs"`
 	Pending       int    `json:"pending"`
-	Held          int    `json:"held"`
+	InFlight      int    `json:"held"`
 	// Evacuated are the failure domains that are being evacuated.
 	Evacuated []string     `json:"evacuated"`
 	Members   []MemberDump `json:"members"`
@@ -37,7 +37,7 @@
 	LeftMs  int64  `json:"leftMs"`
 }
 
-// MemberDump is a peer's.
+// MemberDump is the state of a member.
 type MemberDump struct {
 	Router        uint64 `json:"router"`
 	Address       string `json:"address"`
@@ -48,27 +48,27 @@
 	LastContactMs int64  `json:"heardMs"`
 }
 
-// GroupDump is a group's.
+// GroupDump is the state of a group.
 type GroupDump struct {
 	Group string         `json:"group"`
 	Home  uint64         `json:"home"`
 	State dispatch.State `json:"state"`
 }
 
-// Dump returns the node's state; it is empty once the node has ended.
+// Dump returns the node's state. It is empty if the node has stopped.
 func (n *Node) Dump() Dump {
 	answer := make(chan Dump, 1)
-	n.post(inspectEvent{do: func(now boottime.Time) { answer <- n.dump(now) }})
+	n.post(callEvent{do: func(now boottime.Time) { answer <- n.dump(now) }})
 	select {
 	case d := <-answer:
 		return d
-	case <-n.over:
+	case <-n.done:
 		return Dump{}
 	}
 }
 
 func (n *Node) dump(now boottime.Time) Dump {
-	d := Dump{Router: n.self, Domain: n.cfg.Domain, Hub: n.hub, ReadsPlatform: n.reads.Load(), Pending: len(n.pending), Held: len(n.held)}
+	d := Dump{Router: n.self, Domain: n.cfg.Domain, Hub: n.isHub, ReadsPlatform: n.readsPlatform.Load(), Pending: len(n.pending), InFlight: len(n.inFlight)}
 	if n.feed != nil {
 		d.AgeMs = n.feed.Age().Milliseconds()
 		if s := n.feed.Snapshot(); s != nil {
@@ -77,8 +77,8 @@
 	}
 	for _, m := range n.members {
 		d.Members = append(d.Members, MemberDump{
-			Router: m.id, Address: m.addr.String(), Domain: m.domain, Hub: m.hub,
-			Leaving: m.leaving, Unresponsive: m.doubted, LastContactMs: now.Sub(m.heard).Milliseconds(),
+			Router: m.id, Address: m.addr.String(), Domain: m.domain, Hub: m.isHub,
+			Leaving: m.leaving, Unresponsive: m.unresponsive, LastContactMs: now.Sub(m.lastContact).Milliseconds(),
 		})
 	}
 	for _, g := range n.groups {
@@ -92,10 +92,10 @@
 	return d
 }
 
-// decodeParams reads a request's parameters.
+// decodeParams decodes the parameters of a JSON-RPC request.
 func decodeParams(req *jsonrpc2.Request, into any) error {
 	if req.Params == nil {
-		return &jsonrpc2.Error{Code: jsonrpc2.CodeInvalidParams, Message: "no parameters"}
+		return &jsonrpc2.Error{Code: jsonrpc2.CodeInvalidParams, Message: "missing parameters"}
 	}
 	if err := json.Unmarshal(*req.Params, into); err != nil {
 		return &jsonrpc2.Error{Code: jsonrpc2.CodeInvalidParams, Message: err.Error()}
@@ -104,23 +104,24 @@
 }
 
 const (
-	// logGroupEvery is the time between two lines on a group. Users compare what teams
-	// got second by second, and a share moves with what was asked in the last moments.
-	logGroupEvery = time.Second
-	// teamsTold is how many teams are told with a group: more than flood it at once.
-	teamsTold = 6
+	// groupLogInterval is the time between two log lines of a group. Users compare the
+	// usage of teams second by second, and shares change with the most recent requests.
+	groupLogInterval = time.Second
+	// maxTeamsLogged limits the teams that are logged with a group. More teams than that
+	// don't flood a group at the same time.
+	maxTeamsLogged = 6
 )
 
-// logGroups tells what this router has decided as a home, and from what state.
+// logGroups logs the decisions of this router as a home, and the state they are based on.
 func (n *Node) logGroups(now boottime.Time) {
 	for _, g := range n.groups {
-		if now.Sub(g.toldAt) < logGroupEvery {
+		if now.Sub(g.loggedAt) < groupLogInterval {
 			continue
 		}
-		g.toldAt = now
+		g.loggedAt = now
 		s := g.core.State(time.Duration(now))
-		since := s.Counts.Since(g.told)
-		g.told = s.Counts
+		since := s.Counts.Since(g.loggedCounts)
+		g.loggedCounts = s.Counts
 		if since.Asked == 0 {
 			continue
 		}
@@ -136,9 +137,9 @@
 	}
 }
 
-// logTeams tells how the teams stand that a group's home refuses.
+// logTeams logs the usage and share of the teams of a group that refuses requests.
 func (n *Node) logTeams(now boottime.Time, g *group, level float64) {
-	for _, t := range g.core.Teams(time.Duration(now), teamsTold) {
+	for _, t := range g.core.Teams(time.Duration(now), maxTeamsLogged) {
 		n.log.Info().Str("event", "share").Str("group", g.key).Str("team", t.Team).Int64("asked_tokens", int64(t.Asked)).
 			Int64("served_tokens", int64(t.Served)).Int64("lately_tokens", int64(t.Lately)).
 			Int64("elsewhere_tokens", int64(t.Elsewhere)).
--- a/fleet/events.go
+++ b/fleet/events.go
@@ -12,7 +12,7 @@
 
 // Events of the control goroutine.
 type (
-	received struct {
+	packetEvent struct {
 		packet *packet
 		from   netip.AddrPort
 	}
@@ -28,33 +28,33 @@
 		outcome dispatch.Outcome
 		took    time.Duration
 	}
-	changeEvent struct{}
-	leaveEvent  struct{}
-	cachedEvent struct {
+	stateChangeEvent struct{}
+	leaveEvent       struct{}
+	cacheReportEvent struct {
 		key      groupKey
 		upstream dispatch.Incarnation
 		parts    []dispatch.Part
 	}
 	seedsEvent struct{ ips []string }
-	// inspectEvent runs a function on the control state.
-	inspectEvent struct{ do func(now boottime.Time) }
+	// callEvent runs a function on the control goroutine.
+	callEvent struct{ do func(now boottime.Time) }
 )
 
-// Changed tells that the published state has changed.
+// NotifyStateChange reports that the published state has changed. It doesn't block.
 func (n *Node) NotifyStateChange() {
 	select {
-	case n.events <- changeEvent{}:
-	default: // the tick finds the change as well
+	case n.events <- stateChangeEvent{}:
+	default: // the next tick detects the change
 	}
 }
 
-// SetSeeds replaces the routers that may be up.
+// SetSeeds replaces the seeds, which are the IPs of routers that may be up.
 func (n *Node) SetSeeds(ips []string) { n.post(seedsEvent{ips: ips}) }
 
-// Leave tells the peers that this router stops.
+// Leave announces to all members that this router is stopping.
 func (n *Node) Leave() { n.post(leaveEvent{}) }
 
-func (n *Node) control(ctx context.Context) {
+func (n *Node) controlLoop(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	due := n.now()
@@ -63,12 +63,12 @@
 		case <-ctx.Done():
 			return
 		case e := <-n.events:
-			n.handle(e)
+			n.handleEvent(e)
 		case <-timer.C:
-			late := n.now().Sub(due)
-			late = max(late, n.catchUp())
+			lag := n.now().Sub(due)
+			lag = max(lag, n.drainEvents())
 			n.tick()
-			n.noteLag(late)
+			n.recordLag(lag)
 			next := n.nextTick()
 			due = n.now().Add(next)
 			timer.Reset(next)
@@ -76,17 +76,17 @@
 	}
 }
 
-// catchUp handles what has come in already. A router that was held up finds its
-// timers due and the answers beside them; it must not take a home for silent
-// whose answer it just hasn't read. It returns how long others had their turns: what
-// comes over the network waits as long before it is read.
-func (n *Node) catchUp() (waited time.Duration) {
+// drainEvents handles the events that are queued. After a pause of the process, timeouts
+// are due while replies still wait in the queue; a home whose reply just hasn't been read
+// must not count as silent. It returns the longest time that other goroutines ran when the
+// processor was yielded to them: incoming datagrams wait as long before they are read.
+func (n *Node) drainEvents() (waited time.Duration) {
 	for range 2 {
-		began := n.now()
+		start := n.now()
 		runtime.Gosched()
-		waited = max(waited, n.now().Sub(began))
+		waited = max(waited, n.now().Sub(start))
 		for left := len(n.events); left > 0; left-- {
-			n.handle(<-n.events)
+			n.handleEvent(<-n.events)
 		}
 	}
 	return waited
@@ -104,22 +104,22 @@
 	return slowTick
 }
 
-func (n *Node) handle(e any) {
+func (n *Node) handleEvent(e any) {
 	now := n.now()
 	switch e := e.(type) {
-	case received:
-		n.receivePacket(now, e)
+	case packetEvent:
+		n.handlePacket(now, e)
 	case placeEvent:
-		n.noteLag(now.Sub(e.at))
+		n.recordLag(now.Sub(e.at))
 		n.place(now, e)
 	case reportEvent:
-		n.reported(now, e)
-	case changeEvent:
-		n.changed(now)
+		n.forwardReport(now, e)
+	case stateChangeEvent:
+		n.applyState(now)
 	case leaveEvent:
 		n.leaving = true
-		n.beatAll(now)
-	case cachedEvent:
+		n.broadcastHeartbeat(now)
+	case cacheReportEvent:
 		if g := n.groups[e.key]; g != nil {
 			g.core.Seed(e.upstream, e.parts)
 		}
@@ -134,53 +134,53 @@
 	case leavingEvent:
 		n.handleLeaving(now, e)
 	case warmUpEvent:
-		n.takeWarmUp(now, e)
-	case inspectEvent:
+		n.handleWarmUp(now, e)
+	case callEvent:
 		e.do(now)
 	}
 }
 
-func (n *Node) receivePacket(now boottime.Time, e received) {
+func (n *Node) handlePacket(now boottime.Time, e packetEvent) {
 	p := e.packet
 	if p.From == n.self {
-		n.readMark(now, p.Beat)
+		n.handleLagProbe(now, p.Heartbeat)
 		return
 	}
-	if p.Beat != nil {
-		n.heardBeat(now, p.From, p.Beat)
+	if p.Heartbeat != nil {
+		n.handleHeartbeat(now, p.From, p.Heartbeat)
 	}
 	if m := n.members[p.From]; m != nil {
-		m.heard, m.doubted, m.silent = now, false, false
-		n.heardAt = now
+		m.lastContact, m.unresponsive, m.silent = now, false, false
+		n.lastPeerContact = now
 	}
 	if p.Ask != nil {
-		n.asked(now, p.From, p.Ask)
+		n.handlePlaceRequest(now, p.From, p.Ask)
 	}
 	if p.Reply != nil {
-		n.replied(now, n.members[p.From], p.Reply)
+		n.handlePlaceReply(now, n.members[p.From], p.Reply)
 	}
 	if p.Report != nil {
-		n.takeReport(now, p.From, p.Report)
+		n.handleReport(now, p.From, p.Report)
 	}
 	if p.Infrequent != nil {
-		n.takeInfrequent(now, p.From, p.Infrequent)
+		n.handleInfrequent(now, p.From, p.Infrequent)
 	}
 }
 
-func (n *Node) takeInfrequent(now boottime.Time, from uint64, m *infrequent) {
+func (n *Node) handleInfrequent(now boottime.Time, from uint64, m *infrequent) {
 	if m.Shed != nil {
-		n.takeShed(now, from, m.Shed)
+		n.handleShedReport(now, from, m.Shed)
 	}
-	if m.Tally != nil {
-		n.takeTally(now, from, m.Tally)
+	if m.Usage != nil {
+		n.handleUsageReport(now, from, m.Usage)
 	}
 	if peer := n.members[from]; m.Quarantine != nil && peer != nil {
-		n.takeQuarantineUpdate(now, peer, m.Quarantine)
+		n.handleQuarantineUpdate(now, peer, m.Quarantine)
 	}
 	if m.Broken != nil && n.members[from] != nil {
-		n.takeBroken(now, m.Broken.Upstream, m.Broken.Announced)
+		n.handleBroken(now, m.Broken.Upstream, m.Broken.Announced)
 	}
 	if m.Leaving != nil && n.members[from] != nil {
-		n.takeLeaving(now, m.Leaving)
+		n.handleLeavingReport(now, m.Leaving)
 	}
 }
--- a/fleet/export_test.go
+++ b/fleet/export_test.go
@@ -13,7 +13,7 @@
 // Hold keeps the control goroutine busy for a while, as a VM does whose processor
 // is taken up by other work. Call it from a goroutine of its own.
 func (n *Node) BlockControl(d time.Duration) {
-	n.post(inspectEvent{do: func(boottime.Time) { time.Sleep(d) }})
+	n.post(callEvent{do: func(boottime.Time) { time.Sleep(d) }})
 }
 
 // Addrs are where a transport is heard, for port 0.
@@ -36,7 +36,7 @@
 		ok    bool
 	}
 	answers := make(chan answer, 1)
-	n.post(inspectEvent{do: func(now boottime.Time) {
+	n.post(callEvent{do: func(now boottime.Time) {
 		g := n.groups[groupKey{service: service, index: group}]
 		if g == nil || g.home != n.self {
 			answers <- answer{}
@@ -57,14 +57,14 @@
 // AddsUp reports whether this router adds up what homes gave a team, as it sees the fleet.
 func (n *Node) AggregatesUsage(team string) bool {
 	answers := make(chan bool, 1)
-	n.post(inspectEvent{do: func(now boottime.Time) { answers <- n.hubFor(now, tallyKey(team)) == nil }})
+	n.post(callEvent{do: func(now boottime.Time) { answers <- n.hubFor(now, usageKey(team)) == nil }})
 	return <-answers
 }
 
 // Served is what this router gave to a team as the home of a group, now or before.
 func (n *Node) Served(service string, group int, team string) dispatch.Got {
 	answers := make(chan dispatch.Got, 1)
-	n.post(inspectEvent{do: func(now boottime.Time) {
+	n.post(callEvent{do: func(now boottime.Time) {
 		if g := n.groups[groupKey{service: service, index: group}]; g != nil {
 			answers <- g.core.Served(time.Duration(now), team)
 			return
--- a/fleet/fuzz_test.go
+++ b/fleet/fuzz_test.go
@@ -32,17 +32,17 @@
 // process and every request in it.
 func FuzzDatagrams(f *testing.F) {
 	for _, p := range []packet{
-		{From: 2, Beat: &beat{IP: "127.0.0.1", Domain: "d", Weight: 1, Peers: []string{"x"}}},
-		{From: 2, Ask: &ask{Seq: 1, Service: "llm", Group: -1, Prompt: -5, Parts: []part{{ID: 1, Tokens: -1}}, TargetMs: -1}},
-		{From: 2, Reply: &reply{Seq: 1, Verdict: 9}},
+		{From: 2, Heartbeat: &heartbeat{IP: "127.0.0.1", Domain: "d", Weight: 1, Peers: []string{"x"}}},
+		{From: 2, Ask: &placeRequest{Seq: 1, Service: "llm", Group: -1, Prompt: -5, Parts: []part{{ID: 1, Tokens: -1}}, TargetMs: -1}},
+		{From: 2, Reply: &placeReply{Seq: 1, Verdict: 9}},
 		{From: 2, Infrequent: &infrequent{Quarantine: &quarantineUpdate{
 			Crashes: []crashReport{{Team: "t", Hash: 1, RanMs: -1}},
 			Notices: []statusNotice{{Team: "t", Hash: 1, Status: 200, Version: 1 << 31, LeftS: -1}},
 		}}},
-		{From: 2, Infrequent: &infrequent{Shed: &shed{Service: "llm", Group: 1 << 40, Requests: []shedRequest{{Fingerprint: 1, AgoMs: -1, LeftMs: -1}}}}},
-		{From: 2, Infrequent: &infrequent{Tally: &tally{Teams: []teamGot{{Team: "t", Window: -1, Lately: float32(math.NaN())}}}}},
-		{From: 2, Infrequent: &infrequent{Tally: &tally{Return: true, Teams: []teamGot{{Team: "t", Window: float32(math.Inf(1))}}}}},
-		{From: 2, Report: &report{Kind: holds, Seq: 1, Service: "llm", Held: &ask{}, Upstream: "u"}},
+		{From: 2, Infrequent: &infrequent{Shed: &shedReport{Service: "llm", Group: 1 << 40, Requests: []shedRequest{{Fingerprint: 1, AgeMs: -1, LeftMs: -1}}}}},
+		{From: 2, Infrequent: &infrequent{Usage: &usageReport{Teams: []teamUsage{{Team: "t", Window: -1, Lately: float32(math.NaN())}}}}},
+		{From: 2, Infrequent: &infrequent{Usage: &usageReport{IsReply: true, Teams: []teamUsage{{Team: "t", Window: float32(math.Inf(1))}}}}},
+		{From: 2, Report: &report{Kind: reportInFlight, Seq: 1, Service: "llm", Held: &placeRequest{}, Upstream: "u"}},
 	} {
 		raw, err := cbor.Marshal(&p)
 		if err != nil {
@@ -67,7 +67,7 @@
 		if cbor.Unmarshal(raw, p) != nil {
 			return
 		}
-		n.receivePacket(boottime.Now(), received{packet: p, from: netip.MustParseAddrPort("127.0.0.1:9")})
+		n.handlePacket(boottime.Now(), packetEvent{packet: p, from: netip.MustParseAddrPort("127.0.0.1:9")})
 		n.tick()
 		if len(n.groups) > maxGroups {
 			t.Fatalf("%d groups of one service", len(n.groups))
--- a/fleet/group.go
+++ b/fleet/group.go
@@ -22,22 +22,25 @@
 	index   int
 }
 
-// group is a part of a service's upstreams for which one router decides.
+// group is a subset of a service's upstreams. One router, its home, decides on the requests
+// that are sent to it.
 type group struct {
 	key  string
 	core *dispatch.Core
-	// home is the router that decided last, 0 if none has yet; homeSince is when it began.
+	// home is the current home's incarnation, 0 if none has been chosen yet; homeSince is
+	// when it became the home.
 	home      uint64
 	homeSince boottime.Time
-	// probedAt is when this router last asked the upstreams whether they warm up.
+	// probedAt is when this router last probed the upstreams for their warm-up.
 	probedAt boottime.Time
-	// told and toldAt are the counts in the last line of the log.
-	told   dispatch.Counts
-	toldAt boottime.Time
+	// loggedCounts are the counts in the last log line, which was written at loggedAt.
+	loggedCounts dispatch.Counts
+	loggedAt     boottime.Time
 }
 
-// pickGroup spreads sessions over groups.
-func (n *Node) pickGroup(service string, count int, parts []dispatch.Part, seq uint64) int {
+// groupIndex returns the group of a request. It distributes sessions over the groups, and
+// requests without a session by their sequence number.
+func (n *Node) groupIndex(service string, count int, parts []dispatch.Part, seq uint64) int {
 	if count == 1 {
 		return 0
 	}
@@ -48,17 +51,17 @@
 	return int(xxhash.Sum64String(service+strconv.FormatUint(session, 16)) % uint64(count))
 }
 
-// groupOfUpstream divides upstreams by their IDs.
+// groupOfUpstream returns the index of an upstream's group, by the hash of its ID.
 func groupOfUpstream(id string, count int) int {
 	return int(xxhash.Sum64String(id) % uint64(count))
 }
 
-// maxGroups bounds the groups of one service: a question names one by number.
+// maxGroups limits the groups of one service, because peers send group numbers.
 const maxGroups = 1 << 10
 
-// group returns a group of the service, with its present upstreams. It is nil if
-// this router knows no such service: the asker knows more, or the datagram was
-// no question of ours.
+// group returns a group of a service with its current upstreams. It returns nil if the
+// service isn't in this router's state: the peer that names it may have a newer state, or
+// its datagram is invalid.
 func (n *Node) group(now boottime.Time, key groupKey) *group {
 	if g := n.groups[key]; g != nil {
 		return g
@@ -73,15 +76,15 @@
 	}
 	g := &group{key: key.service + "/" + strconv.Itoa(key.index), core: dispatch.New(cfg)}
 	n.groups[key] = g
-	n.fill(now, key, g, s)
+	n.updateGroup(now, key, g, s)
 	return g
 }
 
-// fill gives a group its upstreams and its part of the engines' yield.
-func (n *Node) fill(now boottime.Time, key groupKey, g *group, s *feed.Snapshot) {
+// updateGroup sets the upstreams of a group and its share of the engines' capacity.
+func (n *Node) updateGroup(now boottime.Time, key groupKey, g *group, s *feed.Snapshot) {
 	ready := s.View.Ready(key.service)
 	svc := s.Table.Service(key.service)
-	count := n.counts.of(key.service, len(ready))
+	count := n.groupCounts.update(key.service, len(ready))
 	var members []dispatch.Member
 	for _, u := range ready {
 		if groupOfUpstream(u.ID, count) != key.index || n.availability.Leaving(time.Duration(now), incarnation(u)) {
@@ -98,11 +101,12 @@
 		}
 		members = append(members, m)
 	}
-	g.core.SetCapacity(yield(s, len(members)))
+	g.core.SetCapacity(capacityShare(s, len(members)))
 	n.deliver(now, key, g.core.SetMembers(time.Duration(now), members))
 }
 
-// copyTime is how long an engine takes to copy a cached token from another.
+// copyTime returns the time that an engine takes to copy one cached token from another
+// engine.
 func copyTime(e *routing.Engine) time.Duration {
 	if e.KVTokenBytes <= 0 || e.LinkMbps <= 0 {
 		return 0
@@ -118,59 +122,60 @@
 
 func slots(u *registry.Upstream) int { return max(u.Slots, 1) }
 
-// yield is the part of the engines' tokens a second that some of them give.
-func yield(s *feed.Snapshot, some int) float64 {
-	all := 0
+// capacityShare returns the share of the engines' total capacity, in tokens per second, that
+// belongs to the given number of upstreams.
+func capacityShare(s *feed.Snapshot, upstreams int) float64 {
+	total := 0
 	for i := range s.Table.Config.Services {
 		if svc := &s.Table.Config.Services[i]; svc.Engine != nil {
-			all += s.View.Count(svc.Name)
+			total += s.View.Count(svc.Name)
 		}
 	}
-	if all == 0 {
+	if total == 0 {
 		return 0
 	}
-	return s.Table.Config.Limits.TokensPerSecond * float64(some) / float64(all)
+	return s.Table.Config.Limits.TokensPerSecond * float64(upstreams) / float64(total)
 }
 
-// changed refills the groups.
-func (n *Node) changed(now boottime.Time) {
+// applyState updates the groups from the published state.
+func (n *Node) applyState(now boottime.Time) {
 	s := n.feed.Snapshot()
 	if s == nil {
 		return
 	}
-	n.filled = s
+	n.appliedSnapshot = s
 	for key, g := range n.groups {
-		n.fill(now, key, g, s)
+		n.updateGroup(now, key, g, s)
 	}
 	n.pushState(now)
 }
 
-// homeOf is the router that decides for a group: nil means this one. It is a hub,
-// unless none is heard.
+// homeOf returns the home of a group, nil for this router. It is a hub, unless no hub is
+// reachable.
 func (n *Node) homeOf(now boottime.Time, g *group) *member { return n.hubFor(now, g.key) }
 
-// hubFor is the hub that has a matter in its hands: nil means this router, which it also
-// is if no hub is heard.
+// hubFor returns the hub that is responsible for a key by rendezvous hashing, nil for this
+// router. It returns nil as well if no hub is reachable.
 func (n *Node) hubFor(now boottime.Time, key string) *member {
 	var best *member
 	score := math.Inf(-1)
-	if n.hub && !n.leaving {
-		score = preference(n.self, n.cfg.Weight, key)
+	if n.isHub && !n.leaving {
+		score = rendezvousScore(n.self, n.cfg.Weight, key)
 	}
 	for _, m := range n.members {
-		if !m.hub || !n.usable(now, m) {
+		if !m.isHub || !n.usable(now, m) {
 			continue
 		}
-		if p := preference(m.id, m.weight, key); p > score {
+		if p := rendezvousScore(m.id, m.weight, key); p > score {
 			best, score = m, p
 		}
 	}
 	return best
 }
 
-// checkHomes tells a group's new home what this router has at its upstreams:
-// else it would take them for idle and send them more than they can do.
-func (n *Node) checkHomes(now boottime.Time) {
+// updateHomes detects changes of the groups' homes. It reports this router's requests in
+// flight to a new home, which would otherwise treat the upstreams as idle and overload them.
+func (n *Node) updateHomes(now boottime.Time) {
 	for key, g := range n.groups {
 		home, id := n.homeOf(now, g), n.self
 		if home != nil {
@@ -181,23 +186,23 @@
 		}
 		first := g.home == 0
 		g.home, g.homeSince = id, now
-		n.log.Info().Str("event", "home").Str("group", g.key).Uint64("router", id).Bool("self", home == nil).Msg("home of a group")
+		n.log.Info().Str("event", "home").Str("group", g.key).Uint64("router", id).Bool("self", home == nil).Msg("home of a group changed")
 		if !first {
-			n.tellHeld(now, g, home)
+			n.handOverRequests(now, g, home)
 		}
 		if home == nil {
-			n.askCached(key)
+			n.requestCacheReports(key)
 		}
 	}
 }
 
-// cachedTimeout bounds the question to an engine. Its answer is of use for as
-// long as the cache lives, but a home that waits for it places blindly.
-const cachedTimeout = time.Second
+// cacheReportTimeout limits the request for an engine's cache report. The report is useful
+// as long as the cache exists, but until it arrives the home places requests without it.
+const cacheReportTimeout = time.Second
 
-// askCached asks the engines of a group that this router has become the home of
-// what they keep, each once.
-func (n *Node) askCached(key groupKey) {
+// requestCacheReports requests a cache report from each engine of a group, after this router
+// has become the group's home.
+func (n *Node) requestCacheReports(key groupKey) {
 	s := n.feed.Snapshot()
 	if s == nil || n.cfg.CachedParts == nil {
 		return
@@ -206,42 +211,42 @@
 		return
 	}
 	ready := s.View.Ready(key.service)
-	count := n.counts.of(key.service, len(ready))
+	count := n.groupCounts.update(key.service, len(ready))
 	for _, u := range ready {
 		if groupOfUpstream(u.ID, count) == key.index {
-			go n.askCachedOf(key, u)
+			go n.requestCacheReport(key, u)
 		}
 	}
 }
 
-func (n *Node) askCachedOf(key groupKey, u *registry.Upstream) {
-	ctx, cancel := context.WithTimeout(context.Background(), cachedTimeout)
+func (n *Node) requestCacheReport(key groupKey, u *registry.Upstream) {
+	ctx, cancel := context.WithTimeout(context.Background(), cacheReportTimeout)
 	defer cancel()
-	kept, err := n.cfg.CachedParts(ctx, u.Address)
+	report, err := n.cfg.CachedParts(ctx, u.Address)
 	if err != nil {
 		n.limited.Warn("cached", func(e *obs.Event) {
-			e.Str("upstream", u.ID).Err(err).Msg("engine didn't say what it keeps")
+			e.Str("upstream", u.ID).Err(err).Msg("failed to get the cache report of an engine")
 		})
 		return
 	}
 	n.limited.Info("cached", func(e *obs.Event) {
-		e.Str("upstream", u.ID).Int("parts", len(kept.Parts)).Msg("engine said what it keeps")
+		e.Str("upstream", u.ID).Int("parts", len(report.Parts)).Msg("received the cache report of an engine")
 	})
-	n.post(cachedEvent{key: key, upstream: kept.from(u), parts: kept.Parts})
+	n.post(cacheReportEvent{key: key, upstream: report.from(u), parts: report.Parts})
 }
 
-func (n *Node) tellHeld(now boottime.Time, g *group, home *member) {
-	for _, h := range n.held {
+func (n *Node) handOverRequests(now boottime.Time, g *group, home *member) {
+	for _, h := range n.inFlight {
 		if h.group != g {
 			continue
 		}
 		if home == nil {
-			g.core.Held(time.Duration(now), h.request, h.upstream, h.begun)
+			g.core.Held(time.Duration(now), h.request, h.upstream, h.responseStarted)
 			continue
 		}
 		n.send(home.addr, &packet{Report: &report{
-			Kind: holds, Seq: h.request.Ticket.Seq, Service: h.key.service, Group: h.key.index,
-			Held: n.newAsk(h.key, h.request), Upstream: h.upstream.ID, Started: h.upstream.Started, Begun: h.begun,
+			Kind: reportInFlight, Seq: h.request.Ticket.Seq, Service: h.key.service, Group: h.key.index,
+			Held: n.newPlaceRequest(h.key, h.request), Upstream: h.upstream.ID, Started: h.upstream.Started, ResponseStarted: h.responseStarted,
 		}})
 	}
 }
--- a/fleet/group_count.go
+++ b/fleet/group_count.go
@@ -5,68 +5,68 @@
 	"sync"
 )
 
-// groupCounts are the numbers of groups into which services' upstreams fall. It is safe
-// for concurrent use.
+// groupCounts has the number of groups into which the upstreams of each service are divided.
+// It is safe for concurrent use.
 //
-// A number is a power of two: each group has at most size upstreams. It doubles as soon as
-// they are more, and halves only once they are well below. Replaced upstreams are listed
-// for a while beside their successors, and a third may crash at once; if the number
-// followed that, nearly all sessions would change their homes twice within seconds, and
-// engines would read their prompts again.
+// The number is a power of two, so that groups have at most maxMeanSize upstreams on average.
+// It doubles as soon as they would have more, but halves only once they have well below that.
+// Replaced upstreams are listed beside their successors for a while, and a third of the
+// upstreams may crash at once. If the number followed these changes, nearly all sessions
+// would change homes twice within seconds, and engines would process their prompts again.
 type groupCounts struct {
-	size int
-	mu   sync.Mutex
-	// counts are by service.
+	maxMeanSize int
+	mu          sync.Mutex
+	// counts has the number of groups by service.
 	counts map[string]int
 }
 
-// halvesAt is the part of half as many full groups to which upstreams must fall for the
-// number to halve.
-const halvesAt = 0.75
+// halvingThreshold is the fill level of half as many groups at or below which the number of
+// groups is halved.
+const halvingThreshold = 0.75
 
 func newGroupCounts(size int) *groupCounts {
-	return &groupCounts{size: size, counts: map[string]int{}}
+	return &groupCounts{maxMeanSize: size, counts: map[string]int{}}
 }
 
-// of is the number for a service that has so many upstreams now.
-func (c *groupCounts) of(service string, upstreams int) int {
+// update returns the number of groups of a service for its current number of upstreams.
+func (c *groupCounts) update(service string, upstreams int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	count := max(c.counts[service], c.least(upstreams))
-	for count > 1 && !c.may(count, upstreams) {
+	count := max(c.counts[service], c.minimum(upstreams))
+	for count > 1 && !c.allowed(count, upstreams) {
 		count /= 2
 	}
 	c.counts[service] = count
 	return count
 }
 
-// least is the smallest number for which no group is too large.
-func (c *groupCounts) least(upstreams int) int {
+// minimum returns the smallest number of groups for which no group is too large.
+func (c *groupCounts) minimum(upstreams int) int {
 	count := 1
-	for upstreams > count*c.size {
+	for upstreams > count*c.maxMeanSize {
 		count *= 2
 	}
 	return count
 }
 
-// may reports whether upstreams may fall into so many groups.
-func (c *groupCounts) may(count, upstreams int) bool {
-	return float64(upstreams) > halvesAt*float64(count/2*c.size)
+// allowed reports whether so many upstreams may be divided into count groups.
+func (c *groupCounts) allowed(count, upstreams int) bool {
+	return float64(upstreams) > halvingThreshold*float64(count/2*c.maxMeanSize)
 }
 
-// groupNumber tells on the wire which group is meant and of how many: the groups of a
-// division into two are 2 and 3, those of four 4 to 7.
+// groupNumber encodes the index of a group and the number of groups: two groups are
+// numbered 2 and 3, four groups 4 to 7.
 type groupNumber int
 
-func numberOf(index, count int) groupNumber {
-	// A group that is left over from a larger division is named by that.
+func newGroupNumber(index, count int) groupNumber {
+	// A group that remains from a larger number of groups is encoded with that number.
 	for count <= index {
 		count *= 2
 	}
 	return groupNumber(count + index)
 }
 
-// count is into how many groups the sender divides the upstreams, 0 if the number is none.
+// count returns the sender's number of groups, 0 if the group number is invalid.
 func (n groupNumber) count() int {
 	if n <= 0 || n >= 2*maxGroups {
 		return 0
@@ -74,7 +74,7 @@
 	return 1 << (bits.Len(uint(n)) - 1)
 }
 
-// index is that of the group, -1 if the number is none.
+// index returns the index of the group, -1 if the group number is invalid.
 func (n groupNumber) index() int {
 	if n.count() == 0 {
 		return -1
@@ -82,11 +82,12 @@
 	return int(n) - n.count()
 }
 
-// told takes in a peer's number. A router that has just started, or has never seen the
-// upstreams that made its peers double theirs, would else send sessions to other homes.
-func (c *groupCounts) told(service string, count, upstreams int) {
+// adopt raises the number of groups to that of a peer. Otherwise a router that has just
+// started, or has never seen the upstreams for which its peers doubled the number, would
+// send sessions to other homes than its peers do.
+func (c *groupCounts) adopt(service string, count, upstreams int) {
 	powerOfTwo := count > 0 && count&(count-1) == 0
-	if !powerOfTwo || count > maxGroups || !c.may(count, upstreams) {
+	if !powerOfTwo || count > maxGroups || !c.allowed(count, upstreams) {
 		return
 	}
 	c.mu.Lock()
--- a/fleet/group_count_test.go
+++ b/fleet/group_count_test.go
@@ -13,10 +13,10 @@
 func TestGroupsStayWhileUpstreamsAreReplaced(t *testing.T) {
 	g := NewWithT(t)
 	c := newGroupCounts(groupSize)
-	g.Expect(c.of("llm", 60)).To(Equal(2))
+	g.Expect(c.update("llm", 60)).To(Equal(2))
 	changes, last := 0, 2
 	for _, listed := range []int{62, 65, 63, 65, 62, 64, 65, 61, 60, 65, 60} {
-		if now := c.of("llm", listed); now != last {
+		if now := c.update("llm", listed); now != last {
 			changes, last = changes+1, now
 		}
 	}
@@ -27,25 +27,25 @@
 func TestGroupsStayWhileAThirdIsLost(t *testing.T) {
 	g := NewWithT(t)
 	c := newGroupCounts(groupSize)
-	g.Expect(c.of("llm", 160)).To(Equal(8))
-	g.Expect(c.of("llm", 107)).To(Equal(8))
-	g.Expect(c.of("llm", 160)).To(Equal(8))
-	g.Expect(c.of("llm", 96)).To(Equal(4))
-	g.Expect(c.of("llm", 20)).To(Equal(1))
+	g.Expect(c.update("llm", 160)).To(Equal(8))
+	g.Expect(c.update("llm", 107)).To(Equal(8))
+	g.Expect(c.update("llm", 160)).To(Equal(8))
+	g.Expect(c.update("llm", 96)).To(Equal(4))
+	g.Expect(c.update("llm", 20)).To(Equal(1))
 }
 
 // Guards against a new router that divides upstreams otherwise than its peers.
 func TestNewRouterTakesItsPeersGroups(t *testing.T) {
 	g := NewWithT(t)
 	c := newGroupCounts(groupSize)
-	g.Expect(c.of("llm", 62)).To(Equal(2))
+	g.Expect(c.update("llm", 62)).To(Equal(2))
 	for _, wrong := range []int{0, -4, 3, 8, 1 << 30} {
-		c.told("llm", wrong, 62)
+		c.adopt("llm", wrong, 62)
 	}
-	g.Expect(c.of("llm", 62)).To(Equal(2))
-	c.told("llm", 4, 62)
-	g.Expect(c.of("llm", 62)).To(Equal(4))
-	g.Expect(c.of("llm", 48)).To(Equal(2))
+	g.Expect(c.update("llm", 62)).To(Equal(2))
+	c.adopt("llm", 4, 62)
+	g.Expect(c.update("llm", 62)).To(Equal(4))
+	g.Expect(c.update("llm", 48)).To(Equal(2))
 }
 
 // A number on the wire tells the group and the division; what is none tells nothing.
@@ -53,12 +53,12 @@
 	g := NewWithT(t)
 	for _, count := range []int{1, 2, 4, 8} {
 		for index := range count {
-			n := numberOf(index, count)
+			n := newGroupNumber(index, count)
 			g.Expect(n.count()).To(Equal(count))
 			g.Expect(n.index()).To(Equal(index))
 		}
 	}
-	g.Expect(numberOf(3, 2).index()).To(Equal(3))
+	g.Expect(newGroupNumber(3, 2).index()).To(Equal(3))
 	for _, wrong := range []groupNumber{-1, 0, 1 << 40} {
 		g.Expect(wrong.count()).To(BeZero())
 		g.Expect(wrong.index()).To(Equal(-1))
--- a/fleet/heartbeat.go
+++ b/fleet/heartbeat.go
@@ -6,151 +6,155 @@
 	"github.com/aspenswitch/aspenswitch/boottime"
 )
 
-// heardBeat takes in a heartbeat.
-func (n *Node) heardBeat(now boottime.Time, id uint64, b *beat) {
-	at, ok := n.addrOf(b.IP)
+// handleHeartbeat updates the member that sent a heartbeat, and adds it if it is new.
+func (n *Node) handleHeartbeat(now boottime.Time, id uint64, hb *heartbeat) {
+	at, ok := n.addrOf(hb.IP)
 	if !ok {
 		return
 	}
 	m := n.members[id]
 	if m == nil {
-		m = &member{candidate: newCandidate(id, b.Weight, b.Domain), addr: at, ip: b.IP, weight: b.Weight, nearAt: now}
+		m = &member{candidate: newCandidate(id, hb.Weight, hb.Domain), addr: at, ip: hb.IP, weight: hb.Weight, hubChangedAt: now}
 		n.replaceIncarnation(now, m)
 		n.members[id] = m
 		n.byIP[m.ip] = m
-		n.log.Info().Str("event", "member").Uint64("router", id).Str("ip", b.IP).Str("domain", b.Domain).
+		n.log.Info().Str("event", "member").Uint64("router", id).Str("ip", hb.IP).Str("domain", hb.Domain).
 			Int("members", len(n.members)).Msg("router joined")
-		b.Answer = true
-		n.hubsAt = 0
+		hb.ReplyRequested = true
+		n.hubsChosenAt = 0
 	}
-	m.leaving = b.Leaving
-	if b.Hub != m.needsUs {
-		m.needsUs, m.nearAt = b.Hub, now
+	m.leaving = hb.Leaving
+	if hb.ReceiverIsHub != m.usesUsAsHub {
+		m.usesUsAsHub, m.hubChangedAt = hb.ReceiverIsHub, now
 	}
-	m.stateAge = time.Duration(b.AgeNanos)
-	m.theirs = max(m.theirs, b.Sent)
-	m.heard, m.silent = now, false
+	m.stateAge = time.Duration(hb.AgeNanos)
+	m.lastSent = max(m.lastSent, hb.Sent)
+	m.lastContact, m.silent = now, false
 	n.updateHubs(now)
-	n.vouched(m, b)
-	n.repairQuarantine(now, m, b.Quarantine)
-	n.meet(now, b.Peers)
-	if b.Answer {
-		n.beatTo(now, m, false)
+	n.confirmState(m, hb)
+	n.repairQuarantine(now, m, hb.QuarantineDigest)
+	n.contactNewPeers(now, hb.Peers)
+	if hb.ReplyRequested {
+		n.sendHeartbeat(now, m, false)
 	}
 }
 
-// replaceIncarnation drops an earlier process at the same address.
+// replaceIncarnation removes the member of an earlier process at the same address.
 func (n *Node) replaceIncarnation(now boottime.Time, m *member) {
 	if old := n.byIP[m.ip]; old != nil {
 		n.dropMember(now, old.id, "router replaced")
 	}
 }
 
-func (n *Node) dropMember(now boottime.Time, id uint64, why string) {
+func (n *Node) dropMember(now boottime.Time, id uint64, reason string) {
 	delete(n.byIP, n.members[id].ip)
 	delete(n.members, id)
-	n.log.Info().Str("event", "member").Uint64("router", id).Int("members", len(n.members)).Msg(why)
+	n.log.Info().Str("event", "member").Uint64("router", id).Int("members", len(n.members)).Msg(reason)
 	for key, g := range n.groups {
 		n.deliver(now, key, g.core.Drop(time.Duration(now), id))
 	}
 }
 
-// vouched takes the peer's word on how fresh the published state is. The echo
-// dates it on this router's clock: the peer spoke after it had heard this
-// router's heartbeat of that moment, so no delay on the way makes it younger.
-func (n *Node) vouched(m *member, b *beat) {
-	if n.feed == nil || b.Revision == 0 {
+// confirmState renews the confirmation of the published state from a peer's heartbeat, or
+// fetches the peer's state if that is newer. The echo gives the time of the confirmation on
+// this router's clock: the peer sent its heartbeat after it had received the echoed one, so
+// no network delay makes the state look younger than it is.
+func (n *Node) confirmState(m *member, hb *heartbeat) {
+	if n.feed == nil || hb.Revision == 0 {
 		return
 	}
-	at := boottime.Time(b.Echo - b.AgeNanos)
-	// A peer that hasn't heard of this incarnation echoes the one before. After a loss
-	// of power its clock was another, hours ahead: the view would be dated in the
-	// future, and the right to serve on it would not end.
-	if b.Echo == 0 || b.EchoOf != uint32(n.self) {
+	at := boottime.Time(hb.Echo - hb.AgeNanos)
+	// A peer that has received nothing from this incarnation echoes the previous one.
+	// After a power loss the boot clock starts again, so the echo may be hours ahead of
+	// it: the view would be dated in the future, and this router would be authorized to
+	// serve on it without end.
+	if hb.Echo == 0 || hb.EchoIncarnation != uint32(n.self) {
 		at = 0
 	}
-	if n.feed.Vouch(b.Revision, at) {
+	if n.feed.Vouch(hb.Revision, at) {
 		n.pullFrom(m.addr)
 	}
 }
 
-// meet sends a first heartbeat to routers that a peer knows.
-func (n *Node) meet(now boottime.Time, ips []string) {
+// contactNewPeers sends a first heartbeat to the routers of a peer's heartbeat that aren't
+// members yet.
+func (n *Node) contactNewPeers(now boottime.Time, ips []string) {
 	for _, ip := range ips {
-		if ip == n.cfg.IP || n.knows(ip) {
+		if ip == n.cfg.IP || n.isMember(ip) {
 			continue
 		}
 		if at, ok := n.addrOf(ip); ok {
-			n.send(at, &packet{Beat: n.newBeat(now, 0, true)})
+			n.send(at, &packet{Heartbeat: n.newHeartbeat(now, 0, true)})
 		}
 	}
 }
 
-func (n *Node) knows(ip string) bool { return n.byIP[ip] != nil }
+func (n *Node) isMember(ip string) bool { return n.byIP[ip] != nil }
 
-// peersTold is how many peers a heartbeat names: a few draws spread the whole
-// list within seconds.
-const peersTold = 4
+// maxPeersInHeartbeat limits the peers in a heartbeat. They are chosen at random, so the
+// complete list spreads within seconds.
+const maxPeersInHeartbeat = 4
 
-func (n *Node) newBeat(now boottime.Time, echo int64, answer bool) *beat {
-	b := &beat{
+func (n *Node) newHeartbeat(now boottime.Time, echo int64, requestReply bool) *heartbeat {
+	hb := &heartbeat{
 		Sent: int64(now), Echo: echo, IP: n.cfg.IP, Domain: n.cfg.Domain, Weight: n.cfg.Weight,
-		Leaving: n.leaving, Answer: answer, Quarantine: n.quarantine.table.Digest(),
+		Leaving: n.leaving, ReplyRequested: requestReply, QuarantineDigest: n.quarantine.table.Digest(),
 	}
 	if n.feed != nil {
-		// The age is read before the revision: a newer state only looks older.
-		b.AgeNanos = int64(n.feed.Age())
+		// The age is read before the revision: if the state is replaced in between, it only
+		// looks older than it is.
+		hb.AgeNanos = int64(n.feed.Age())
 		if s := n.feed.Snapshot(); s != nil {
-			b.Revision = s.Revision
+			hb.Revision = s.Revision
 		}
 	}
 	for _, m := range n.members {
-		if len(b.Peers) == peersTold {
+		if len(hb.Peers) == maxPeersInHeartbeat {
 			break
 		}
-		b.Peers = append(b.Peers, m.ip)
+		hb.Peers = append(hb.Peers, m.ip)
 	}
-	return b
+	return hb
 }
 
-func (n *Node) beatTo(now boottime.Time, m *member, answer bool) {
-	m.beatAt = now
-	b := n.newBeat(now, m.theirs, answer)
-	b.EchoOf, b.Hub = uint32(m.id), m.hub
-	n.send(m.addr, &packet{Beat: b})
+func (n *Node) sendHeartbeat(now boottime.Time, m *member, requestReply bool) {
+	m.heartbeatSentAt = now
+	hb := n.newHeartbeat(now, m.lastSent, requestReply)
+	hb.EchoIncarnation, hb.ReceiverIsHub = uint32(m.id), m.isHub
+	n.send(m.addr, &packet{Heartbeat: hb})
 }
 
-func (n *Node) beatAll(now boottime.Time) {
+func (n *Node) broadcastHeartbeat(now boottime.Time) {
 	for _, m := range n.members {
-		n.beatTo(now, m, false)
+		n.sendHeartbeat(now, m, false)
 	}
 }
 
-// tick sends what is due.
+// tick does the periodic work of the control goroutine.
 func (n *Node) tick() {
 	now := n.now()
 	n.updateHubs(now)
 	for id, m := range n.members {
-		if now.Sub(m.heard) > n.forgetAfter(now, m) {
+		if now.Sub(m.lastContact) > n.forgetAfter(now, m) {
 			n.dropMember(now, id, "router silent")
 			continue
 		}
-		if now.Sub(m.beatAt) >= n.periodOf(m) {
-			n.beatTo(now, m, false)
+		if now.Sub(m.heartbeatSentAt) >= n.heartbeatIntervalTo(m) {
+			n.sendHeartbeat(now, m, false)
 		}
 	}
-	// A full queue may have dropped the word of a change.
-	if n.feed != nil && n.feed.Snapshot() != n.filled {
-		n.changed(now)
+	// The state change event may have been dropped because the queue was full.
+	if n.feed != nil && n.feed.Snapshot() != n.appliedSnapshot {
+		n.applyState(now)
 	}
-	n.markOldView(now)
-	n.seek(now)
+	n.probeLagIfStale(now)
+	n.contactSeeds(now)
 	n.chooseReaders(now)
-	n.retryAsks(now)
+	n.retryPlacements(now)
 	for key, g := range n.groups {
 		n.deliver(now, key, g.core.Tick(time.Duration(now)))
 	}
-	n.checkHomes(now)
+	n.updateHomes(now)
 	n.fleetSize.observe(now, len(n.members)+1)
 	for key, g := range n.groups {
 		n.updateWarmUpGrant(now, g)
@@ -159,24 +163,24 @@
 	n.pushState(now)
 	n.tickQuarantine(now)
 	if n.feed != nil {
-		n.tellShed(now)
-		n.tellTallies(now)
+		n.reportShed(now)
+		n.reportUsage(now)
 	}
 	n.logGroups(now)
 }
 
-// seekEvery is the mean time between heartbeats to seeds that aren't members:
-// they may have been down, or this router may be cut off with a few others.
-const seekEvery = 500 * time.Millisecond
+// seedContactInterval is the mean time between heartbeats to a seed that isn't a member:
+// the seed may have been down, or this router may be in a minority partition.
+const seedContactInterval = 500 * time.Millisecond
 
-func (n *Node) seek(now boottime.Time) {
-	chance := float64(slowTick) / float64(seekEvery)
+func (n *Node) contactSeeds(now boottime.Time) {
+	probability := float64(slowTick) / float64(seedContactInterval)
 	for _, ip := range n.cfg.Seeds {
-		if ip == n.cfg.IP || n.knows(ip) || n.random.Float64() > chance {
+		if ip == n.cfg.IP || n.isMember(ip) || n.random.Float64() > probability {
 			continue
 		}
 		if at, ok := n.addrOf(ip); ok {
-			n.send(at, &packet{Beat: n.newBeat(now, 0, true)})
+			n.send(at, &packet{Heartbeat: n.newHeartbeat(now, 0, true)})
 		}
 	}
 }
--- a/fleet/home.go
+++ b/fleet/home.go
@@ -8,21 +8,21 @@
 	"github.com/aspenswitch/aspenswitch/obs"
 )
 
-// asked decides for a peer, as the home of the group.
-func (n *Node) asked(now boottime.Time, from uint64, a *ask) {
+// handlePlaceRequest decides on a peer's request as the home of its group.
+func (n *Node) handlePlaceRequest(now boottime.Time, from uint64, req *placeRequest) {
 	if n.feed.Snapshot() == nil || n.members[from] == nil {
-		return // the asker decides by itself
+		return // the peer times out and decides by itself
 	}
-	n.toldGroups(a.Service, a.Group)
-	key := groupKey{service: a.Service, index: a.Group.index()}
+	n.adoptPeerCount(req.Service, req.Group)
+	key := groupKey{service: req.Service, index: req.Group.index()}
 	g := n.group(now, key)
 	if g == nil {
 		return
 	}
-	n.deliver(now, key, g.core.Ask(time.Duration(now), a.request(from)))
+	n.deliver(now, key, g.core.Ask(time.Duration(now), req.toDispatch(from)))
 }
 
-// logRefusal tells what a refusal rests on.
+// logRefusal logs a refusal with the figures that it is based on.
 func (n *Node) logRefusal(key groupKey, d dispatch.Decision) {
 	b := &d.Basis
 	n.limited.Warn("decision", func(e *obs.Event) {
@@ -34,30 +34,31 @@
 	})
 }
 
-// deliver hands decisions to the requests, here or at peers.
+// deliver passes decisions to the requests of this router and sends the others to the
+// routers that asked.
 func (n *Node) deliver(now boottime.Time, key groupKey, decisions []dispatch.Decision) {
 	for _, d := range decisions {
 		if d.Verdict == dispatch.Refuse {
 			n.logRefusal(key, d)
 		}
 		if d.Ticket.Router == n.self {
-			n.decided(now, d)
+			n.applyDecision(now, d)
 			continue
 		}
 		m := n.members[d.Ticket.Router]
 		if m == nil {
 			continue
 		}
-		n.send(m.addr, &packet{Reply: &reply{
-			Seq: d.Ticket.Seq, Service: key.service, Group: n.numberOf(key), Verdict: d.Verdict, Upstream: d.Upstream, CopyFrom: d.CopyFrom,
+		n.send(m.addr, &packet{Reply: &placeReply{
+			Seq: d.Ticket.Seq, Service: key.service, Group: n.groupNumberOf(key), Verdict: d.Verdict, Upstream: d.Upstream, CopyFrom: d.CopyFrom,
 			RetryMs: millis(d.RetryAfter), WaitMs: millis(d.Wait), WaitedMs: millis(d.Waited), Over: d.Over, Warming: d.Warming,
 			Allowance: float32(d.Allowance),
 		}})
 	}
 }
 
-// takeReport takes in a report as the home of the group.
-func (n *Node) takeReport(now boottime.Time, from uint64, r *report) {
+// handleReport applies a report as the home of the group.
+func (n *Node) handleReport(now boottime.Time, from uint64, r *report) {
 	if n.feed.Snapshot() == nil {
 		return
 	}
@@ -69,13 +70,13 @@
 	ticket := dispatch.Ticket{Router: from, Seq: r.Seq}
 	at := time.Duration(now)
 	switch r.Kind {
-	case began:
+	case reportStarted:
 		n.deliver(now, key, g.core.Started(at, ticket))
-	case ended:
-		n.deliver(now, key, g.core.Done(at, ticket, r.Outcome, duration(r.TookMs)))
-	case holds:
+	case reportEnded:
+		n.deliver(now, key, g.core.Done(at, ticket, r.Outcome, duration(r.DurationMs)))
+	case reportInFlight:
 		if r.Held != nil {
-			g.core.Held(at, r.Held.request(from), dispatch.Incarnation{ID: r.Upstream, Started: r.Started}, r.Begun)
+			g.core.Held(at, r.Held.toDispatch(from), dispatch.Incarnation{ID: r.Upstream, Started: r.Started}, r.ResponseStarted)
 		}
 	}
 }
--- a/fleet/hubs.go
+++ b/fleet/hubs.go
@@ -8,44 +8,45 @@
 	"github.com/aspenswitch/aspenswitch/boottime"
 )
 
-// Hubs are the routers that all others hear often. Homes of groups are chosen among
-// them, and so are the routers that read the platform or pass its state on.
+// Hubs are the routers that exchange frequent heartbeats with all others. The homes of
+// groups are chosen among them, and so are the routers that read the platform or distribute
+// its state.
 //
-// If all routers heard each other often, heartbeats would grow with the square of the fleet and
-// take much of a small VM's processor. A router that is no hub hears the others farTimes more
-// rarely, so that it knows who takes over.
+// Frequent heartbeats between all routers would grow with the square of the fleet size and
+// use much of a small VM's processor. Routers that aren't hubs exchange heartbeats at
+// infrequentFactor times the interval, so that each can choose successors of lost hubs.
 const (
-	// farTimes is how many times more rarely routers beat that are no hubs to each
-	// other.
-	farTimes = 8
-	// hubsEvery is how often hubs are chosen anew.
-	hubsEvery = 500 * time.Millisecond
+	// infrequentFactor multiplies the heartbeat interval and the silence timeout between
+	// routers that aren't hubs.
+	infrequentFactor = 8
+	// hubChoiceInterval is the time between two choices of the hubs.
+	hubChoiceInterval = 500 * time.Millisecond
 )
 
 // candidate is a router that may be a hub.
 type candidate struct {
 	id     uint64
 	domain string
-	// hubScore and readerScore rank it in the fleet and in its failure domain.
+	// hubScore ranks it in the fleet, readerScore in its failure domain.
 	hubScore, readerScore float64
 }
 
 func newCandidate(id uint64, weight float64, domain string) candidate {
-	return candidate{id: id, domain: domain, hubScore: preference(id, weight, "hub"), readerScore: preference(id, weight, readerKey)}
+	return candidate{id: id, domain: domain, hubScore: rendezvousScore(id, weight, "hub"), readerScore: rendezvousScore(id, weight, readerKey)}
 }
 
-// chooseHubs returns the IDs of the hubs among the routers that are up. All routers
-// that know the same others choose the same.
-func chooseHubs(all []candidate, most, mostInDomain int) map[uint64]bool {
+// chooseHubs returns the IDs of the hubs among the candidates. Routers with the same
+// candidates choose the same hubs.
+func chooseHubs(candidates []candidate, maxHubs, maxPerDomain int) map[uint64]bool {
 	chosen := map[uint64]bool{}
-	slices.SortFunc(all, func(a, b candidate) int { return cmp.Compare(b.hubScore, a.hubScore) })
-	for _, c := range all[:min(most, len(all))] {
+	slices.SortFunc(candidates, func(a, b candidate) int { return cmp.Compare(b.hubScore, a.hubScore) })
+	for _, c := range candidates[:min(maxHubs, len(candidates))] {
 		chosen[c.id] = true
 	}
-	slices.SortFunc(all, func(a, b candidate) int { return cmp.Compare(b.readerScore, a.readerScore) })
+	slices.SortFunc(candidates, func(a, b candidate) int { return cmp.Compare(b.readerScore, a.readerScore) })
 	inDomain := map[string]int{}
-	for _, c := range all {
-		if inDomain[c.domain] < mostInDomain {
+	for _, c := range candidates {
+		if inDomain[c.domain] < maxPerDomain {
 			inDomain[c.domain]++
 			chosen[c.id] = true
 		}
@@ -53,59 +54,59 @@
 	return chosen
 }
 
-// updateHubs finds the hubs as this router sees the fleet.
+// updateHubs chooses the hubs from this router's members.
 func (n *Node) updateHubs(now boottime.Time) {
-	if now.Sub(n.hubsAt) < hubsEvery {
+	if now.Sub(n.hubsChosenAt) < hubChoiceInterval {
 		return
 	}
-	n.hubsAt = now
+	n.hubsChosenAt = now
 	all := make([]candidate, 0, len(n.members)+1)
 	if !n.leaving {
 		all = append(all, newCandidate(n.self, n.cfg.Weight, n.cfg.Domain))
 	}
 	for _, m := range n.members {
-		m.silent = m.silent || now.Sub(m.heard) >= n.silenceOf(now, m)
+		m.silent = m.silent || now.Sub(m.lastContact) >= n.maxSilence(now, m)
 		if !m.leaving && !m.silent {
 			all = append(all, m.candidate)
 		}
 	}
 	chosen := chooseHubs(all, n.cfg.Hubs, n.cfg.HubsPerDomain)
-	n.hub = chosen[n.self]
+	n.isHub = chosen[n.self]
 	for _, m := range n.members {
-		if hub := chosen[m.id]; hub != m.hub {
-			m.hub, m.nearAt = hub, now
-			// It may not know yet that it is counted on.
-			n.beatTo(now, m, hub)
+		if hub := chosen[m.id]; hub != m.isHub {
+			m.isHub, m.hubChangedAt = hub, now
+			// The peer may not have chosen itself yet.
+			n.sendHeartbeat(now, m, hub)
 		}
 	}
 }
 
-// near reports whether two routers hear each other often.
-func (n *Node) near(m *member) bool { return n.hub || m.hub || m.needsUs }
+// frequentHeartbeats reports whether this router and a peer exchange frequent heartbeats.
+func (n *Node) frequentHeartbeats(m *member) bool { return n.isHub || m.isHub || m.usesUsAsHub }
 
-// period is the time between two heartbeats of routers that hear each other often.
-func (n *Node) period() time.Duration {
+// heartbeatInterval returns the time between two heartbeats if they are frequent.
+func (n *Node) heartbeatInterval() time.Duration {
 	return max(n.cfg.HeartbeatInterval, time.Duration(len(n.members))*n.cfg.HeartbeatIntervalPerPeer)
 }
 
-func (n *Node) periodOf(m *member) time.Duration {
-	if n.near(m) {
-		return n.period()
+func (n *Node) heartbeatIntervalTo(m *member) time.Duration {
+	if n.frequentHeartbeats(m) {
+		return n.heartbeatInterval()
 	}
-	return farTimes * n.period()
+	return infrequentFactor * n.heartbeatInterval()
 }
 
-// silenceOf is how long a peer may be silent and still be used. One that has just
-// become a hub was heard rarely until then.
-func (n *Node) silenceOf(now boottime.Time, m *member) time.Duration {
-	silence := time.Duration(n.cfg.MissedHeartbeats) * n.period()
-	if n.near(m) && now.Sub(m.nearAt) > silence {
+// maxSilence returns the time without contact up to which a peer is still used. A peer that
+// has just become a hub sent infrequent heartbeats until then.
+func (n *Node) maxSilence(now boottime.Time, m *member) time.Duration {
+	silence := time.Duration(n.cfg.MissedHeartbeats) * n.heartbeatInterval()
+	if n.frequentHeartbeats(m) && now.Sub(m.hubChangedAt) > silence {
 		return silence
 	}
-	return farTimes * silence
+	return infrequentFactor * silence
 }
 
-// forgetAfter is when a silent peer is no longer a member.
+// forgetAfter returns the time without contact after which a peer is removed.
 func (n *Node) forgetAfter(now boottime.Time, m *member) time.Duration {
-	return max(n.cfg.ForgetAfter, n.silenceOf(now, m)*3/2)
+	return max(n.cfg.ForgetAfter, n.maxSilence(now, m)*3/2)
 }
--- a/fleet/leaving.go
+++ b/fleet/leaving.go
@@ -27,7 +27,7 @@
 	if s == nil {
 		return
 	}
-	index := groupOfUpstream(e.upstream.ID, n.counts.of(e.service, len(s.View.Ready(e.service))))
+	index := groupOfUpstream(e.upstream.ID, n.groupCounts.update(e.service, len(s.View.Ready(e.service))))
 	g := n.group(now, groupKey{service: e.service, index: index})
 	if g == nil {
 		return
@@ -37,8 +37,8 @@
 	}
 }
 
-// takeLeaving records a leaving notice that another router has received from an upstream.
-func (n *Node) takeLeaving(now boottime.Time, r *leavingReport) {
+// handleLeavingReport records a leaving notice that another router has received from an upstream.
+func (n *Node) handleLeavingReport(now boottime.Time, r *leavingReport) {
 	n.recordLeaving(now, dispatch.Incarnation{ID: r.Upstream, Started: r.Started})
 }
 
@@ -46,6 +46,6 @@
 func (n *Node) recordLeaving(now boottime.Time, upstream dispatch.Incarnation) {
 	if n.availability.RecordLeaving(time.Duration(now), upstream) {
 		n.log.Info().Str("event", "upstream_leaving").Str("upstream", upstream.ID).Int64("started", upstream.Started).Msg("removed leaving upstream from its group")
-		n.changed(now)
+		n.applyState(now)
 	}
 }
--- a/fleet/message.go
+++ b/fleet/message.go
@@ -5,15 +5,15 @@
 	"github.com/aspenswitch/aspenswitch/quarantine"
 )
 
-// packet is one datagram. Fields are arrays on the wire, for their size.
+// packet is one datagram. Structs are encoded as arrays, to keep datagrams small.
 type packet struct {
 	_ struct{} `cbor:",toarray"`
 	// From is the sender's incarnation.
-	From   uint64
-	Beat   *beat
-	Ask    *ask
-	Reply  *reply
-	Report *report
+	From      uint64
+	Heartbeat *heartbeat
+	Ask       *placeRequest
+	Reply     *placeReply
+	Report    *report
 	// Infrequent keeps frequent packets small: they encode one empty field instead of one
 	// for each rarely sent message.
 	Infrequent *infrequent
@@ -22,8 +22,8 @@
 // infrequent holds the messages that are rarely sent.
 type infrequent struct {
 	_          struct{} `cbor:",toarray"`
-	Shed       *shed
-	Tally      *tally
+	Shed       *shedReport
+	Usage      *usageReport
 	Quarantine *quarantineUpdate
 	Leaving    *leavingReport
 	Broken     *brokenNotice
@@ -44,39 +44,39 @@
 	Started  int64
 }
 
-// beat is a heartbeat.
-type beat struct {
+// heartbeat reports that the sender is alive, and the age of its state.
+type heartbeat struct {
 	_ struct{} `cbor:",toarray"`
 	// Sent is the sender's boot clock in nanoseconds.
 	Sent int64
-	// Echo is the newest Sent that the sender has from the receiver, 0 if none.
-	// It proves that the sender's other words were said after that moment.
+	// Echo is the newest Sent that the sender has received from the receiver, 0 if none.
+	// It proves that the heartbeat was sent after that time.
 	Echo int64
-	// EchoOf is the low half of the incarnation that Echo is from. The next one at
-	// the address may have another clock.
-	EchoOf uint32
-	IP     string
-	Domain string
-	// Weight is the sender's share of a core.
+	// EchoIncarnation is the low half of the incarnation that sent Echo. A later
+	// incarnation at the same address may have a different boot clock.
+	EchoIncarnation uint32
+	IP              string
+	Domain          string
+	// Weight is the sender's processor share, in cores.
 	Weight float64
-	// Leaving routers are no home to anything.
+	// Leaving is set while the sender is stopping. It can't be a home then.
 	Leaving bool
-	// Answer asks for a heartbeat in return, at once.
-	Answer bool
-	// Hub tells the receiver that the sender takes it for a hub.
-	Hub bool
-	// Revision of the published state that the sender has, and how long before
-	// Sent it was confirmed.
+	// ReplyRequested asks the receiver to send a heartbeat at once.
+	ReplyRequested bool
+	// ReceiverIsHub is set if the sender has chosen the receiver as a hub.
+	ReceiverIsHub bool
+	// Revision is that of the sender's published state; AgeNanos is how long before Sent
+	// the state was confirmed.
 	Revision int64
 	AgeNanos int64
-	// Peers are some routers that the sender hears.
+	// Peers are the addresses of some members of the sender.
 	Peers []string
-	// Quarantine is the digest of the sender's quarantine table.
-	Quarantine uint16
+	// QuarantineDigest is the digest of the sender's quarantine table.
+	QuarantineDigest uint16
 }
 
-// ask is a request to be placed.
-type ask struct {
+// placeRequest asks the home of a group to place a request.
+type placeRequest struct {
 	_        struct{} `cbor:",toarray"`
 	Seq      uint64
 	ID       string
@@ -100,8 +100,8 @@
 	Tokens int
 }
 
-// reply is a decision.
-type reply struct {
+// placeReply is a home's decision on a placeRequest.
+type placeReply struct {
 	_        struct{} `cbor:",toarray"`
 	Seq      uint64
 	Service  string
@@ -115,43 +115,45 @@
 	Over     bool
 	// Warming is set if the upstream is warming up.
 	Warming bool
-	// Allowance is what the asker may ask for the team, in tokens a second: 0 if nothing
-	// is told, infinity if there is no bound.
+	// Allowance limits the requests that the receiver may send for the team, in tokens per
+	// second: 0 if the home gives none, infinity if there is no limit.
 	Allowance float32
 }
 
-// reportKind is what a report tells.
+// reportKind is the event that a report is about.
 type reportKind uint8
 
 const (
-	// began: the first byte of the answer came.
-	began reportKind = iota
-	// ended: the request is over.
-	ended
-	// holds: the sender has this request at an upstream; told to a new home.
-	holds
+	// reportStarted: the first byte of the response was received.
+	reportStarted reportKind = iota
+	// reportEnded: the request has ended.
+	reportEnded
+	// reportInFlight: the sender has sent the request to an upstream. It is sent to a new
+	// home.
+	reportInFlight
 )
 
-// report is what became of a request that was placed.
+// report is the progress of a request that was placed.
 type report struct {
-	_       struct{} `cbor:",toarray"`
-	Kind    reportKind
-	Seq     uint64
-	Service string
-	Group   int
-	Outcome dispatch.Outcome
-	TookMs  int32
-	// Held and Upstream are set with holds; Begun if the answer has begun.
-	Held     *ask
+	_          struct{} `cbor:",toarray"`
+	Kind       reportKind
+	Seq        uint64
+	Service    string
+	Group      int
+	Outcome    dispatch.Outcome
+	DurationMs int32
+	// Held and Upstream are set with reportInFlight; ResponseStarted if the first byte of
+	// the response was received.
+	Held     *placeRequest
 	Upstream string
-	// Started tells which start of the upstream has the request.
-	Started int64
-	Begun   bool
+	// Started is when the upstream's process that has the request was started.
+	Started         int64
+	ResponseStarted bool
 }
 
-// shed tells a home of a team's requests that a router has refused by itself, so
-// that their callers are known when they come back.
-type shed struct {
+// shedReport tells a home of a team's requests that a router has refused without asking
+// it, so that the home recognizes their callers when they retry.
+type shedReport struct {
 	_        struct{} `cbor:",toarray"`
 	Service  string
 	Group    int
@@ -160,15 +162,16 @@
 	Requests []shedRequest
 }
 
-// tally tells what teams got: from the sender's homes, or in return from all others.
-type tally struct {
-	_      struct{} `cbor:",toarray"`
-	Return bool
-	Teams  []teamGot
+// usageReport is the usage of teams at the sender's groups or, if IsReply is set, at the groups
+// of all routers but the receiver.
+type usageReport struct {
+	_       struct{} `cbor:",toarray"`
+	IsReply bool
+	Teams   []teamUsage
 }
 
-// teamGot is what a team got, in tokens.
-type teamGot struct {
+// teamUsage is the usage of a team, in tokens.
+type teamUsage struct {
 	_              struct{} `cbor:",toarray"`
 	Team           string
 	Window, Lately float32
@@ -225,7 +228,8 @@
 type shedRequest struct {
 	_           struct{} `cbor:",toarray"`
 	Fingerprint uint64
-	// AgoMs is how long ago the request came, LeftMs how long its caller then waited.
-	AgoMs  int32
+	// AgeMs is how long ago the request arrived, LeftMs how long its caller would wait
+	// from then on.
+	AgeMs  int32
 	LeftMs int32
 }
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -24,89 +24,91 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("fleet")
 
-// Node is one router's part in the fleet. One goroutine owns its state; the
-// others talk to it through events.
+// Node is a router's membership in the fleet. Its state is owned by the control
+// goroutine; other goroutines post events to it.
 type Node struct {
 	cfg  Config
 	self uint64
 	now  boottime.Clock
 	log  zerolog.Logger
-	// limited bounds lines that come with requests.
+	// limited rate-limits log lines that are caused by requests.
 	limited *obs.Limited
 	feed    *feed.Feed
 
 	net    Transport
 	random *rand.Rand
 	events chan any
-	// over is closed when the control goroutine has ended.
-	over    chan struct{}
-	seq     atomic.Uint64
-	routers atomic.Int64
-	reads   atomic.Bool
-	sent    atomic.Int64
-	pulling atomic.Bool
-	// lag is how long requests wait for the control goroutine, averaged.
-	lag atomic.Int64
-	// readLag is how long the newest mark waited to be read.
+	// done is closed when the control goroutine has ended.
+	done          chan struct{}
+	seq           atomic.Uint64
+	routers       atomic.Int64
+	readsPlatform atomic.Bool
+	datagramsSent atomic.Int64
+	pulling       atomic.Bool
+	// controlLag is the moving average of the time that events wait for the control
+	// goroutine, in nanoseconds.
+	controlLag atomic.Int64
+	// readLag is how long the newest received lag probe waited to be read, in nanoseconds.
 	readLag atomic.Int64
-	// unreadSince is when the oldest mark was sent that hasn't been read, 0 if none.
+	// unreadSince is when the oldest lag probe that hasn't been read was sent, 0 if none.
 	unreadSince atomic.Int64
 
 	shed       shedList
 	quarantine quarantineState
 	// availability has the upstreams that are shutting down, as reported by any router.
 	availability *availability.Table
-	// counts are into how many groups services' upstreams fall.
-	counts *groupCounts
+	// groupCounts has the number of groups of each service.
+	groupCounts *groupCounts
 
 	// Owned by the control goroutine.
-	members map[uint64]*member
-	byIP    map[string]*member
-	groups  map[groupKey]*group
-	pending map[uint64]*pending
-	held    map[uint64]*heldRequest
-	warm    map[uint64]dispatch.Incarnation
-	// ledgers add up what teams got from all homes, each for a part of the teams. This
-	// router told what its homes gave at talliedAt, and tells again after tallyEvery.
-	ledgers    [tallyParts]*dispatch.Ledger
-	talliedAt  boottime.Time
-	tallyEvery time.Duration
-	pushed     int64
-	// filled is the state from which the groups have their upstreams.
-	filled *feed.Snapshot
-	// leadOf is the lead of this router's failure domain, nil if it is itself;
-	// told are the other domains' leads, if this router is a reader.
-	leadOf *member
-	told   []*member
-	// heardAt is when any peer was heard last.
-	heardAt boottime.Time
-	leaving bool
-	marks   marks
-	// hub is set if this router is one of the hubs, which were chosen at hubsAt.
-	hub    bool
-	hubsAt boottime.Time
-	most   int
-	// fleetSize remembers how many routers there were of late.
+	members          map[uint64]*member
+	byIP             map[string]*member
+	groups           map[groupKey]*group
+	pending          map[uint64]*pending
+	inFlight         map[uint64]*inFlightRequest
+	sessionUpstreams map[uint64]dispatch.Incarnation
+	// ledgers aggregate the usage of teams over all homes, each for one partition of the
+	// teams. This router last sent its own usage at usageSentAt and sends it again after
+	// usageInterval.
+	ledgers        [usagePartitions]*dispatch.Ledger
+	usageSentAt    boottime.Time
+	usageInterval  time.Duration
+	pushedRevision int64
+	// appliedSnapshot is the state from which the groups' upstreams were last updated.
+	appliedSnapshot *feed.Snapshot
+	// domainLeader is the leader of this router's failure domain, nil if it is this
+	// router; otherLeaders are those of the other domains, if this router is a reader.
+	domainLeader *member
+	otherLeaders []*member
+	// lastPeerContact is when the last datagram from any member was received.
+	lastPeerContact boottime.Time
+	leaving         bool
+	lagProbe        lagProbe
+	// isHub is set if this router is one of the hubs, which were chosen at hubsChosenAt.
+	isHub        bool
+	hubsChosenAt boottime.Time
+	peakRouters  int
+	// fleetSize is the largest recent number of routers.
 	fleetSize fleetSize
 }
 
 const (
-	// logLines is how many lines a second of each kind come with requests.
-	logLines = 5
-	// eventQueue holds what comes in during a tick of a busy router.
-	eventQueue = 512
+	// logLinesPerSecond limits the log lines of each kind that are caused by requests.
+	logLinesPerSecond = 5
+	// eventQueueSize holds the events that arrive during one tick of a busy router.
+	eventQueueSize = 512
 )
 
-// New returns a node that talks to its peers over a transport, which it closes
+// New returns a node that communicates over the given transport, which it closes
 // when Run ends.
 func New(cfg Config, t Transport, now boottime.Clock, log zerolog.Logger) *Node {
 	n := &Node{
 		cfg: cfg, now: now, log: log, net: t, random: rand.New(rand.NewPCG(cfg.RandomSeed, 0)),
-		limited: obs.NewLimited(log, logLines),
-		events:  make(chan any, eventQueue), over: make(chan struct{}),
+		limited: obs.NewLimited(log, logLinesPerSecond),
+		events:  make(chan any, eventQueueSize), done: make(chan struct{}),
 		members: map[uint64]*member{}, byIP: map[string]*member{}, groups: map[groupKey]*group{},
-		pending: map[uint64]*pending{}, held: map[uint64]*heldRequest{}, warm: map[uint64]dispatch.Incarnation{},
-		tallyEvery: minTallyEvery, counts: newGroupCounts(cfg.GroupSize),
+		pending: map[uint64]*pending{}, inFlight: map[uint64]*inFlightRequest{}, sessionUpstreams: map[uint64]dispatch.Incarnation{},
+		usageInterval: minUsageInterval, groupCounts: newGroupCounts(cfg.GroupSize),
 		availability: availability.NewTable(),
 	}
 	for i := range n.ledgers {
@@ -116,50 +118,52 @@
 	n.quarantine.pendingTrials = map[quarantine.ContentID]*pendingTrial{}
 	n.self = n.random.Uint64()
 	n.routers.Store(1)
-	n.reads.Store(true)
+	n.readsPlatform.Store(true)
 	return n
 }
 
-// Attach gives the node the feed whose freshness it spreads.
+// Attach sets the feed whose state and age the node sends to its peers.
 func (n *Node) Attach(f *feed.Feed) { n.feed = f }
 
-// Reads reports whether this router reads the platform for its failure domain.
-func (n *Node) ReadsPlatform() bool { return n.reads.Load() }
+// ReadsPlatform reports whether this router reads the platform for its failure domain.
+func (n *Node) ReadsPlatform() bool { return n.readsPlatform.Load() }
 
-// Routers is the number of routers heard of lately, this one included.
+// Routers returns the largest number of live routers seen so far, including this one.
 func (n *Node) Routers() int { return int(n.routers.Load()) }
 
-// Datagrams is the number of datagrams sent.
-func (n *Node) Datagrams() int64 { return n.sent.Load() }
+// Datagrams returns the number of datagrams sent.
+func (n *Node) Datagrams() int64 { return n.datagramsSent.Load() }
 
-// NewTicket names a request.
+// NewTicket returns a new identifier for a request.
 func (n *Node) NewTicket() dispatch.Ticket {
 	return dispatch.Ticket{Router: n.self, Seq: n.seq.Add(1)}
 }
 
-// Run serves until ctx ends.
+// Run runs the node until ctx is cancelled.
 func (n *Node) Run(ctx context.Context) {
 	go n.receive()
 	go n.servePulls()
-	n.control(ctx)
-	close(n.over)
+	n.controlLoop(ctx)
+	close(n.done)
 	if err := n.net.Close(); err != nil {
-		n.log.Warn().Str("event", "stop").Err(err).Msg("peers' listener not closed")
+		n.log.Warn().Str("event", "stop").Err(err).Msg("failed to close the peer transport")
 	}
 }
 
-// post hands an event to the control goroutine. After its end nobody takes it.
+// post sends an event to the control goroutine. It drops the event if that has ended.
 func (n *Node) post(e any) {
 	select {
 	case n.events <- e:
-	case <-n.over:
+	case <-n.done:
 	}
 }
 
-// maxDatagram fits in what the path carries without fragments, with room.
+// maxDatagram is the size of the receive buffer in bytes. It is well below what the
+// network path carries without fragmentation.
 const maxDatagram = 8 << 10
 
-// receive passes datagrams to the control goroutine.
+// receive decodes datagrams and posts them to the control goroutine until the transport
+// is closed.
 func (n *Node) receive() {
 	buf := make([]byte, maxDatagram)
 	for {
@@ -169,27 +173,27 @@
 		}
 		p := &packet{}
 		if err := cbor.Unmarshal(buf[:size], p); err != nil {
-			n.log.Warn().Str("event", "peer").Stringer("from", from).Err(err).Msg("datagram left out")
+			n.log.Warn().Str("event", "peer").Stringer("from", from).Err(err).Msg("ignored a malformed datagram")
 			continue
 		}
-		if p.From == n.self && p.Beat == nil {
+		if p.From == n.self && p.Heartbeat == nil {
 			continue
 		}
-		n.post(received{packet: p, from: from})
+		n.post(packetEvent{packet: p, from: from})
 	}
 }
 
-// send writes one datagram. One that can't be sent counts as lost on the way.
+// send sends one datagram. A failed send is treated as a lost datagram.
 func (n *Node) send(to netip.AddrPort, p *packet) {
 	p.From = n.self
 	raw, err := cbor.Marshal(p)
 	if err != nil {
-		n.log.Error().Str("event", "peer").Err(err).Msg("datagram not encoded")
+		n.log.Error().Str("event", "peer").Err(err).Msg("failed to encode a datagram")
 		return
 	}
-	n.sent.Add(1)
+	n.datagramsSent.Add(1)
 	if err := n.net.Send(to, raw); err != nil {
-		n.log.Debug().Str("event", "peer").Stringer("to", to).Err(err).Msg("datagram not sent")
+		n.log.Debug().Str("event", "peer").Stringer("to", to).Err(err).Msg("failed to send a datagram")
 	}
 }
 
@@ -198,21 +202,22 @@
 	return at, err == nil
 }
 
-// Ticks of the control goroutine: fast while a request waits for anything, slow
-// otherwise, as each wake-up costs processor time.
+// Tick intervals of the control goroutine: fast while a request is waiting, slow
+// otherwise, because each wake-up costs processor time.
 const (
 	fastTick = 10 * time.Millisecond
 	slowTick = 100 * time.Millisecond
 )
 
-// lagKeep is the weight of the past in the average lag: some ten requests.
-const lagKeep = 0.9
+// lagDecay is the weight of the previous value in the moving average of the lag, which
+// spans about ten requests.
+const lagDecay = 0.9
 
-// noteLag averages how long requests waited for the control goroutine.
-func (n *Node) noteLag(waited time.Duration) {
-	n.lag.Store(int64(lagKeep*float64(n.lag.Load()) + (1-lagKeep)*float64(waited)))
+// recordLag adds the time that an event waited for the control goroutine to the average.
+func (n *Node) recordLag(waited time.Duration) {
+	n.controlLag.Store(int64(lagDecay*float64(n.controlLag.Load()) + (1-lagDecay)*float64(waited)))
 }
 
-// Lag is how far this router is behind with its work. Goroutines take turns, so
-// what the control goroutine waits, all wait.
-func (n *Node) Lag() time.Duration { return time.Duration(n.lag.Load()) }
+// Lag implements gateway.Placer. It returns the average time that events wait for the
+// control goroutine. Goroutines share the processor, so all of them wait about as long.
+func (n *Node) Lag() time.Duration { return time.Duration(n.controlLag.Load()) }
--- a/fleet/place.go
+++ b/fleet/place.go
@@ -9,29 +9,30 @@
 	"github.com/aspenswitch/aspenswitch/feed"
 )
 
-// pending is a request of this router that waits for a decision.
+// pending is a request of this router that is waiting for a decision.
 type pending struct {
 	request dispatch.Request
 	key     groupKey
 	group   *group
 	answer  chan dispatch.Decision
-	// home is the router that was asked, nil for this one; homes counts them.
-	home  *member
-	homes int
-	asked boottime.Time
-	again boottime.Time
-	local boottime.Time
-	acked bool
-}
-
-// heldRequest is a request of this router that is at an upstream.
-type heldRequest struct {
-	request  dispatch.Request
-	key      groupKey
-	group    *group
-	upstream dispatch.Incarnation
-	begun    bool
-	// home was told of it.
+	// home is the router that was asked last, nil for this one; homesAsked counts the homes
+	// that were asked.
+	home       *member
+	homesAsked int
+	startedAt  boottime.Time
+	retryAt    boottime.Time
+	timeoutAt  boottime.Time
+	acked      bool
+}
+
+// inFlightRequest is a request of this router that has been sent to an upstream.
+type inFlightRequest struct {
+	request         dispatch.Request
+	key             groupKey
+	group           *group
+	upstream        dispatch.Incarnation
+	responseStarted bool
+	// home is the router that placed the request, nil for this one.
 	home *member
 }
 
@@ -54,57 +55,58 @@
 
 // Started implements gateway.Placer.
 func (n *Node) Started(_ string, t dispatch.Ticket) {
-	n.post(reportEvent{kind: began, seq: t.Seq})
+	n.post(reportEvent{kind: reportStarted, seq: t.Seq})
 }
 
 // Done implements gateway.Placer.
 func (n *Node) Done(_ string, t dispatch.Ticket, o dispatch.Outcome, took time.Duration) {
-	n.post(reportEvent{kind: ended, seq: t.Seq, outcome: o, took: took})
+	n.post(reportEvent{kind: reportEnded, seq: t.Seq, outcome: o, took: took})
 }
 
-// Group implements gateway.Placer: the part of a service's upstreams whose home decides
-// on a request.
+// Group implements gateway.Placer. It returns the index of the group whose home decides on a
+// request.
 func (n *Node) Group(service string, r dispatch.Request) int {
 	s := n.feed.Snapshot()
 	if s == nil {
 		return 0
 	}
-	return n.groupOf(s, service, &r)
+	return n.groupOfRequest(s, service, &r)
 }
 
-// groupOf is the part of a service's upstreams that a request goes to.
-func (n *Node) groupOf(s *feed.Snapshot, service string, r *dispatch.Request) int {
-	count := n.counts.of(service, len(s.View.Ready(service)))
-	return n.pickGroup(service, count, r.Parts, r.Ticket.Seq)
+// groupOfRequest returns the index of the group that decides on a request.
+func (n *Node) groupOfRequest(s *feed.Snapshot, service string, r *dispatch.Request) int {
+	count := n.groupCounts.update(service, len(s.View.Ready(service)))
+	return n.groupIndex(service, count, r.Parts, r.Ticket.Seq)
 }
 
-// maxWarm bounds the memory of where sessions were sent.
-const maxWarm = 4096
+// maxSessions limits the sessions whose upstreams are recorded. All are dropped once the
+// limit is reached.
+const maxSessions = 4096
 
-// place begins to place a request of this router.
+// place starts the placement of a request of this router.
 func (n *Node) place(now boottime.Time, e placeEvent) {
 	s := n.feed.Snapshot()
 	if s == nil {
 		e.answer <- dispatch.Decision{Verdict: dispatch.Refuse, RetryAfter: time.Second}
 		return
 	}
-	key := groupKey{service: e.service, index: n.groupOf(s, e.service, &e.request)}
+	key := groupKey{service: e.service, index: n.groupOfRequest(s, e.service, &e.request)}
 	g := n.group(now, key)
 	if g == nil {
 		e.answer <- dispatch.Decision{Verdict: dispatch.Refuse, RetryAfter: time.Second}
 		return
 	}
-	e.request.Warm = n.warmFor(s, e.request.Parts)
-	p := &pending{request: e.request, key: key, group: g, answer: e.answer, asked: now}
+	e.request.Warm = n.sessionUpstream(s, e.request.Parts)
+	p := &pending{request: e.request, key: key, group: g, answer: e.answer, startedAt: now}
 	n.pending[e.request.Ticket.Seq] = p
-	p.local = now.Add(n.cfg.PlacementTimeout)
-	n.ask(now, p)
+	p.timeoutAt = now.Add(n.cfg.PlacementTimeout)
+	n.requestPlacement(now, p)
 }
 
-// warmFor is the upstream to which the session was last sent, if it hasn't started
-// again since.
-func (n *Node) warmFor(s *feed.Snapshot, parts []dispatch.Part) string {
-	last, found := n.warm[sessionOf(parts)]
+// sessionUpstream returns the upstream to which the session's last request was sent, or ""
+// if there is none or it has restarted since.
+func (n *Node) sessionUpstream(s *feed.Snapshot, parts []dispatch.Part) string {
+	last, found := n.sessionUpstreams[sessionID(parts)]
 	if !found {
 		return ""
 	}
@@ -115,7 +117,7 @@
 	return u.ID
 }
 
-// incarnationOf is the present start of an upstream, as far as this router knows.
+// incarnationOf returns the incarnation of an upstream in this router's state.
 func (n *Node) incarnationOf(id string) dispatch.Incarnation {
 	if s := n.feed.Snapshot(); s != nil {
 		if u := s.View.Upstream(id); u != nil {
@@ -125,105 +127,106 @@
 	return dispatch.Incarnation{ID: id}
 }
 
-// toldGroups takes in into how many groups a peer divides a service's upstreams.
-func (n *Node) toldGroups(service string, number groupNumber) {
+// adoptPeerCount adopts the number of groups from a peer's group number.
+func (n *Node) adoptPeerCount(service string, peerNumber groupNumber) {
 	if s := n.feed.Snapshot(); s != nil && s.Table.Service(service) != nil {
-		n.counts.told(service, number.count(), len(s.View.Ready(service)))
+		n.groupCounts.adopt(service, peerNumber.count(), len(s.View.Ready(service)))
 	}
 }
 
-// numberOf is a group's number on the wire.
-func (n *Node) numberOf(key groupKey) groupNumber {
+// groupNumberOf returns the encoded number of a group, 0 if there is no state.
+func (n *Node) groupNumberOf(key groupKey) groupNumber {
 	s := n.feed.Snapshot()
 	if s == nil {
 		return 0
 	}
-	return numberOf(key.index, n.counts.of(key.service, len(s.View.Ready(key.service))))
+	return newGroupNumber(key.index, n.groupCounts.update(key.service, len(s.View.Ready(key.service))))
 }
 
-// replied takes in a home's decision. One for a request that is not waiting, or
-// that was decided elsewhere, is given back: else the home would take an idle
-// upstream for busy.
-func (n *Node) replied(now boottime.Time, from *member, r *reply) {
-	n.toldGroups(r.Service, r.Group)
-	p, h := n.pending[r.Seq], n.held[r.Seq]
+// handlePlaceReply applies a home's decision. If the request is no longer waiting, or another
+// home has decided on it, the decision is cancelled: otherwise the home would treat an idle
+// upstream as busy.
+func (n *Node) handlePlaceReply(now boottime.Time, from *member, r *placeReply) {
+	n.adoptPeerCount(r.Service, r.Group)
+	p, h := n.pending[r.Seq], n.inFlight[r.Seq]
 	stale := p == nil && (h == nil || h.home != from) || p != nil && p.home != from
 	if stale {
 		if r.Verdict == dispatch.Send && from != nil {
-			n.cancelAt(from, groupKey{service: r.Service, index: r.Group.index()}, r.Seq)
+			n.cancelPlacement(from, groupKey{service: r.Service, index: r.Group.index()}, r.Seq)
 		}
 		return
 	}
-	n.decided(now, dispatch.Decision{
+	n.applyDecision(now, dispatch.Decision{
 		Ticket: dispatch.Ticket{Router: n.self, Seq: r.Seq}, Verdict: r.Verdict, Upstream: r.Upstream, CopyFrom: r.CopyFrom,
 		RetryAfter: duration(r.RetryMs), Wait: duration(r.WaitMs), Waited: duration(r.WaitedMs), Over: r.Over, Warming: r.Warming,
-		Allowance: allowance(r.Allowance),
+		Allowance: validAllowance(r.Allowance),
 	})
 }
 
-// allowance is what a peer told. A number that can't be one tells nothing.
-func allowance(told float32) float64 {
-	if rate := float64(told); rate > 0 {
+// validAllowance returns an allowance received from a peer, 0 (none given) if it is invalid.
+func validAllowance(received float32) float64 {
+	if rate := float64(received); rate > 0 {
 		return rate
 	}
 	return 0
 }
 
-// decided passes a decision to the request that waits for it.
-func (n *Node) decided(now boottime.Time, d dispatch.Decision) {
+// applyDecision passes a decision to the request that is waiting for it. If the home has
+// queued the request, it schedules the next confirmation.
+func (n *Node) applyDecision(now boottime.Time, d dispatch.Decision) {
 	p := n.pending[d.Ticket.Seq]
 	if p == nil {
 		return
 	}
 	if d.Verdict == dispatch.Wait {
 		p.acked = true
-		p.again = now.Add(max(confirmEvery, d.Wait+fastTick))
+		p.retryAt = now.Add(max(confirmInterval, d.Wait+fastTick))
 		return
 	}
 	delete(n.pending, d.Ticket.Seq)
 	d.Group = p.key.index
 	if d.Verdict == dispatch.Send {
 		at := n.incarnationOf(d.Upstream)
-		n.held[d.Ticket.Seq] = &heldRequest{request: p.request, key: p.key, group: p.group, upstream: at, home: p.home}
-		if session := sessionOf(p.request.Parts); session != 0 {
-			if len(n.warm) >= maxWarm {
-				clear(n.warm)
+		n.inFlight[d.Ticket.Seq] = &inFlightRequest{request: p.request, key: p.key, group: p.group, upstream: at, home: p.home}
+		if session := sessionID(p.request.Parts); session != 0 {
+			if len(n.sessionUpstreams) >= maxSessions {
+				clear(n.sessionUpstreams)
 			}
-			n.warm[session] = at
+			n.sessionUpstreams[session] = at
 		}
 	}
 	p.answer <- d
 }
 
-// reported passes what became of a request to its home.
-func (n *Node) reported(now boottime.Time, e reportEvent) {
-	r := &report{Kind: e.kind, Seq: e.seq, Outcome: e.outcome, TookMs: millis(e.took)}
+// forwardReport sends the progress of a request to its home.
+func (n *Node) forwardReport(now boottime.Time, e reportEvent) {
+	r := &report{Kind: e.kind, Seq: e.seq, Outcome: e.outcome, DurationMs: millis(e.took)}
 	home := (*member)(nil)
-	if h := n.held[e.seq]; h != nil {
+	if h := n.inFlight[e.seq]; h != nil {
 		r.Service, r.Group = h.key.service, h.key.index
 		home = n.homeOf(now, h.group)
-		if e.kind == began {
-			h.begun = true
+		if e.kind == reportStarted {
+			h.responseStarted = true
 		} else {
-			delete(n.held, e.seq)
+			delete(n.inFlight, e.seq)
 		}
 		if h.home != home {
-			// The home that sent it must not count it for longer either.
-			n.tell(now, h.home, r)
+			// The home that placed the request must stop counting it, too.
+			n.sendReport(now, h.home, r)
 		}
-	} else if p := n.pending[e.seq]; p != nil && e.kind == ended {
+	} else if p := n.pending[e.seq]; p != nil && e.kind == reportEnded {
 		r.Service, r.Group = p.key.service, p.key.index
 		home = p.home
 		delete(n.pending, e.seq)
 	} else {
 		return
 	}
-	n.tell(now, home, r)
+	n.sendReport(now, home, r)
 }
 
-func (n *Node) tell(now boottime.Time, home *member, r *report) {
+func (n *Node) sendReport(now boottime.Time, home *member, r *report) {
 	if home == nil {
-		n.takeReport(now, n.self, r)
+		n.handleReport(now, n.self, r)
 		return
 	}
 	n.send(home.addr, &packet{Report: r})
--- a/fleet/probe.go
+++ b/fleet/probe.go
@@ -11,24 +11,25 @@
 )
 
 const (
-	// probeAge is the age of the view from which homes ask upstreams themselves whether they
-	// warm up: an upstream may turn cold at any time, and its entry can't be read.
-	probeAge = time.Second
-	// probeEvery is the time between two probes of an upstream, and the longest that one takes.
-	probeEvery = 500 * time.Millisecond
+	// probeStateAge is the age of the published state from which on homes probe upstreams
+	// for their warm-up: an upstream may turn cold at any time, and while the platform can't
+	// be read its entry doesn't show that.
+	probeStateAge = time.Second
+	// probeInterval is the time between two probes of an upstream, and the timeout of each.
+	probeInterval = 500 * time.Millisecond
 )
 
-// warmUpEvent is what an upstream answered to a probe.
+// warmUpEvent is an upstream's remaining warm-up time according to a probe.
 type warmUpEvent struct {
 	key      groupKey
 	upstream dispatch.Incarnation
 	left     time.Duration
 }
 
-// probeWarmUps asks the upstreams of a group whether they warm up, while this router is the
-// group's home and its view is old. Services without a warm-up limit are not probed.
+// probeWarmUps probes the upstreams of a group for their warm-up while this router is the
+// group's home and its state is old. Services without a warm-up limit are not probed.
 func (n *Node) probeWarmUps(now boottime.Time, key groupKey, g *group) {
-	if n.cfg.WarmUpLeft == nil || n.feed == nil || g.home != n.self || now.Sub(g.probedAt) < probeEvery || n.feed.Age() < probeAge {
+	if n.cfg.WarmUpLeft == nil || n.feed == nil || g.home != n.self || now.Sub(g.probedAt) < probeInterval || n.feed.Age() < probeStateAge {
 		return
 	}
 	s := n.feed.Snapshot()
@@ -41,7 +42,7 @@
 	}
 	g.probedAt = now
 	ready := s.View.Ready(key.service)
-	count := n.counts.of(key.service, len(ready))
+	count := n.groupCounts.update(key.service, len(ready))
 	for _, u := range ready {
 		if groupOfUpstream(u.ID, count) == key.index {
 			go n.probeWarmUp(key, u, svc.HealthPath)
@@ -50,12 +51,12 @@
 }
 
 func (n *Node) probeWarmUp(key groupKey, u *registry.Upstream, healthPath string) {
-	ctx, cancel := context.WithTimeout(context.Background(), probeEvery)
+	ctx, cancel := context.WithTimeout(context.Background(), probeInterval)
 	defer cancel()
 	left, err := n.cfg.WarmUpLeft(ctx, u, healthPath)
 	if err != nil {
 		n.limited.Warn("probe", func(e *obs.Event) {
-			e.Str("upstream", u.ID).Err(err).Msg("upstream didn't say whether it warms up")
+			e.Str("upstream", u.ID).Err(err).Msg("failed to probe the warm-up of an upstream")
 		})
 		return
 	}
@@ -64,14 +65,14 @@
 	}
 }
 
-// takeWarmUp takes in that an upstream warms up.
-func (n *Node) takeWarmUp(now boottime.Time, e warmUpEvent) {
+// handleWarmUp records that an upstream is warming up.
+func (n *Node) handleWarmUp(now boottime.Time, e warmUpEvent) {
 	g := n.groups[e.key]
 	if g == nil {
 		return
 	}
 	n.limited.Info("probe", func(l *obs.Event) {
-		l.Str("upstream", e.upstream.ID).Int64("warm_up_ms", e.left.Milliseconds()).Msg("upstream warms up")
+		l.Str("upstream", e.upstream.ID).Int64("warm_up_ms", e.left.Milliseconds()).Msg("upstream is warming up")
 	})
 	n.deliver(now, e.key, g.core.WarmingUp(time.Duration(now), e.upstream, e.left))
 }
--- a/fleet/pull.go
+++ b/fleet/pull.go
@@ -11,20 +11,20 @@
 	"github.com/aspenswitch/aspenswitch/feed"
 )
 
-// methodState asks a peer for its whole published state.
+// methodState is the JSON-RPC method that returns a peer's published state.
 const methodState = "state"
 
-// stateParams say what the asker has.
+// stateParams are the versions that the client has.
 type stateParams struct {
 	ConfigVersion int64 `json:"configVersion"`
 	Revision      int64 `json:"revision"`
 }
 
-// pullTimeout bounds the transfer of a state: a megabyte takes a few
-// milliseconds, and another peer or the platform may have it too.
+// pullTimeout limits the transfer of a state. A megabyte takes a few milliseconds, and
+// another peer or the platform may provide the state as well.
 const pullTimeout = 600 * time.Millisecond
 
-// pullFrom fetches a peer's state, one at a time.
+// pullFrom starts to fetch a peer's state, unless a fetch is in progress.
 func (n *Node) pullFrom(at netip.AddrPort) {
 	if !n.pulling.CompareAndSwap(false, true) {
 		return
@@ -34,7 +34,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), pullTimeout)
 		defer cancel()
 		if err := n.pull(ctx, at); err != nil {
-			n.log.Warn().Str("event", "peer").Stringer("from", at).Err(err).Msg("state not fetched")
+			n.log.Warn().Str("event", "peer").Stringer("from", at).Err(err).Msg("failed to fetch the state of a peer")
 		}
 	}()
 }
@@ -50,24 +50,24 @@
 		}
 	}
 	stream := jsonrpc2.NewBufferedStream(conn, jsonrpc2.VSCodeObjectCodec{})
-	rpc := jsonrpc2.NewConn(ctx, stream, noRequests{})
+	rpc := jsonrpc2.NewConn(ctx, stream, noopHandler{})
 	defer func() { _ = rpc.Close() }()
-	asked := n.now()
+	requestedAt := n.now()
 	var state feed.Export
 	params := stateParams(n.feed.Have())
 	if err := rpc.Call(ctx, methodState, params, &state); err != nil {
 		return Error.Wrap(err)
 	}
-	n.feed.Import(&state, asked)
+	n.feed.Import(&state, requestedAt)
 	return nil
 }
 
-// noRequests is the asking side, which serves nothing.
-type noRequests struct{}
+// noopHandler is the handler of the client side, which serves no requests.
+type noopHandler struct{}
 
-func (noRequests) Handle(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) {}
+func (noopHandler) Handle(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) {}
 
-// servePulls answers peers that fetch the state.
+// servePulls serves peers that fetch the state until the transport is closed.
 func (n *Node) servePulls() {
 	for {
 		conn, err := n.net.Accept()
@@ -81,7 +81,7 @@
 func (n *Node) servePull(conn net.Conn) {
 	ctx, cancel := context.WithTimeout(context.Background(), pullTimeout)
 	defer cancel()
-	// A deadline that can't be set shows as a broken connection below.
+	// If the deadline can't be set, the connection is broken and the RPC fails below.
 	_ = conn.SetDeadline(time.Now().Add(pullTimeout))
 	stream := jsonrpc2.NewBufferedStream(conn, jsonrpc2.VSCodeObjectCodec{})
 	rpc := jsonrpc2.NewConn(ctx, stream, jsonrpc2.HandlerWithError(n.serveState))
@@ -102,7 +102,7 @@
 	}
 	state := n.feed.Export(feed.Have(params))
 	if state == nil {
-		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeInternalError, Message: "no state yet"}
+		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeInternalError, Message: "no state available yet"}
 	}
 	return state, nil
 }
--- a/fleet/quarantine.go
+++ b/fleet/quarantine.go
@@ -15,8 +15,8 @@
 	"github.com/aspenswitch/aspenswitch/quarantine"
 )
 
-// quarantineState is what this router knows of contents that crash upstreams. Except for
-// view and what mu guards, it is owned by the control goroutine.
+// quarantineState is this router's record of contents that crash upstreams. Except for view
+// and the fields guarded by mu, it is owned by the control goroutine.
 type quarantineState struct {
 	table *quarantine.Table
 	view  atomic.Pointer[quarantine.View]
@@ -34,12 +34,12 @@
 }
 
 const (
-	// noticesInDatagram keeps a datagram below 1.5 kB.
-	noticesInDatagram = 32
-	// expireEvery is the interval between checks for expired entries.
-	expireEvery = time.Second
-	// repairEvery is the minimum interval between repairs of the same peer's table.
-	repairEvery = time.Second
+	// maxNoticesPerDatagram keeps a datagram below 1.5 kB.
+	maxNoticesPerDatagram = 32
+	// expireInterval is the interval between checks for expired entries.
+	expireInterval = time.Second
+	// repairInterval is the minimum interval between repairs of the same peer's table.
+	repairInterval = time.Second
 )
 
 // Events of the control goroutine.
@@ -48,8 +48,8 @@
 		crash quarantine.Crash
 	}
 	successEvent struct {
-		id  quarantine.ContentID
-		why string
+		id     quarantine.ContentID
+		reason string
 	}
 )
 
@@ -64,7 +64,7 @@
 func (n *Node) ReportSuccess(id quarantine.ContentID, from dispatch.Incarnation) {
 	n.quarantine.addSuccess(time.Duration(n.now()), id, incarnationHash(from))
 	if n.Quarantine().Contains(id) {
-		n.post(successEvent{id: id, why: successReason})
+		n.post(successEvent{id: id, reason: successReason})
 	}
 }
 
@@ -82,11 +82,11 @@
 }
 
 // successReason is logged when a success resets the status of a content.
-const successReason = "a request got its whole answer"
+const successReason = "a request received its complete response"
 
 // Release ends the quarantine of a content at all routers, at an operator's request.
 func (n *Node) Release(id quarantine.ContentID) {
-	n.post(successEvent{id: id, why: "released by an operator"})
+	n.post(successEvent{id: id, reason: "released by an operator"})
 }
 
 // Quarantine implements gateway.Placer.
@@ -129,7 +129,7 @@
 func (n *Node) recordSuccess(now boottime.Time, e successEvent) {
 	notice, changed := n.quarantine.table.RecordSuccess(time.Duration(now), e.id)
 	if changed {
-		n.announce(now, notice, e.why)
+		n.announce(now, notice, e.reason)
 	}
 	n.quarantine.view.Store(n.quarantine.table.View())
 }
@@ -139,13 +139,13 @@
 // several unrelated crashes.
 func (n *Node) clearIfSucceeded(now boottime.Time, id quarantine.ContentID) {
 	if n.quarantine.table.View().Status(id) != quarantine.Normal && n.quarantine.recentlySucceeded(time.Duration(now), id) {
-		n.clearSuspicion(now, successEvent{id: id, why: successReason})
+		n.clearSuspicion(now, successEvent{id: id, reason: successReason})
 	}
 }
 
 func (n *Node) recordCrash(now boottime.Time, c quarantine.Crash) {
 	if notice, changed := n.quarantine.table.RecordCrash(time.Duration(now), c); changed {
-		n.announce(now, notice, "upstreams crashed under it")
+		n.announce(now, notice, "upstreams crashed while handling it")
 		n.clearIfSucceeded(now, c.ID)
 	}
 	n.quarantine.view.Store(n.quarantine.table.View())
@@ -153,8 +153,8 @@
 
 // announce logs a status change or a failed trial and queues its notice for all members. A
 // quarantine is sent immediately, without waiting for the next tick.
-func (n *Node) announce(now boottime.Time, notice quarantine.Notice, why string) {
-	n.logQuarantine(now, notice.ID, why)
+func (n *Node) announce(now boottime.Time, notice quarantine.Notice, reason string) {
+	n.logQuarantine(now, notice.ID, reason)
 	n.quarantine.notices = append(n.quarantine.notices, notice)
 	if notice.Status == quarantine.Quarantined {
 		n.broadcastNotices()
@@ -163,7 +163,7 @@
 
 // broadcastNotices sends the queued notices to all members.
 func (n *Node) broadcastNotices() {
-	for part := range slices.Chunk(n.quarantine.notices, noticesInDatagram) {
+	for part := range slices.Chunk(n.quarantine.notices, maxNoticesPerDatagram) {
 		for _, m := range n.members {
 			n.sendNotices(m, part)
 		}
@@ -182,12 +182,12 @@
 	n.send(to.addr, &packet{Infrequent: &infrequent{Quarantine: update}})
 }
 
-// takeQuarantineUpdate applies the trial message, crashes, successes and notices of a peer.
-func (n *Node) takeQuarantineUpdate(now boottime.Time, from *member, update *quarantineUpdate) {
+// handleQuarantineUpdate applies the trial message, crashes, successes and notices of a peer.
+func (n *Node) handleQuarantineUpdate(now boottime.Time, from *member, update *quarantineUpdate) {
 	if update.Trial != nil {
-		n.takeTrialMessage(now, from, update.Trial)
+		n.handleTrialMessage(now, from, update.Trial)
 	}
-	if max(len(update.Crashes), len(update.Successes), len(update.Notices)) > noticesInDatagram {
+	if max(len(update.Crashes), len(update.Successes), len(update.Notices)) > maxNoticesPerDatagram {
 		return
 	}
 	for i := range update.Crashes {
@@ -199,13 +199,13 @@
 	}
 	for i := range update.Successes {
 		s := &update.Successes[i]
-		n.recordSuccess(now, successEvent{id: quarantine.ContentID{Team: s.Team, Hash: s.Hash}, why: successReason})
+		n.recordSuccess(now, successEvent{id: quarantine.ContentID{Team: s.Team, Hash: s.Hash}, reason: successReason})
 	}
 	for i := range update.Notices {
 		s := &update.Notices[i]
 		id := quarantine.ContentID{Team: s.Team, Hash: s.Hash}
 		if n.quarantine.table.Apply(time.Duration(now), s.notice()) {
-			n.logQuarantine(now, id, "told by a peer")
+			n.logQuarantine(now, id, "notice received from a peer")
 			n.clearIfSucceeded(now, id)
 		}
 	}
@@ -216,32 +216,32 @@
 // against routers that missed notices, because they were starting or partitioned, and keep
 // sending quarantined requests.
 func (n *Node) repairQuarantine(now boottime.Time, m *member, digest uint16) {
-	if digest == n.quarantine.table.Digest() || now.Sub(m.repairedAt) < repairEvery || !n.hub && !m.hub {
+	if digest == n.quarantine.table.Digest() || now.Sub(m.repairedAt) < repairInterval || !n.isHub && !m.isHub {
 		return
 	}
 	m.repairedAt = now
-	for part := range slices.Chunk(n.quarantine.table.Notices(time.Duration(now)), noticesInDatagram) {
+	for part := range slices.Chunk(n.quarantine.table.Notices(time.Duration(now)), maxNoticesPerDatagram) {
 		n.sendNotices(m, part)
 	}
 }
 
-// tickQuarantine sends queued notices and, every expireEvery, expires entries.
+// tickQuarantine sends queued notices and, every expireInterval, expires entries.
 func (n *Node) tickQuarantine(now boottime.Time) {
 	if len(n.quarantine.notices) > 0 {
 		n.broadcastNotices()
 	}
 	n.expirePendingTrials(now)
-	if now.Sub(n.quarantine.expiredAt) >= expireEvery {
+	if now.Sub(n.quarantine.expiredAt) >= expireInterval {
 		n.quarantine.expiredAt = now
 		n.quarantine.table.Expire(time.Duration(now))
 		n.quarantine.view.Store(n.quarantine.table.View())
 	}
 }
 
-func (n *Node) logQuarantine(now boottime.Time, id quarantine.ContentID, why string) {
+func (n *Node) logQuarantine(now boottime.Time, id quarantine.ContentID, reason string) {
 	e := n.quarantine.table.Get(time.Duration(now), id)
 	n.log.Warn().Str("event", "quarantine").Str("team", id.Team).Stringer("content", id).Stringer("status", e.Status).
-		Int("crashes", e.Crashes).Int("failed_trials", e.FailedTrials).Int64("left_s", int64(e.Left.Seconds())).Str("why", why).Msg("quarantine status of a content changed")
+		Int("crashes", e.Crashes).Int("failed_trials", e.FailedTrials).Int64("left_s", int64(e.Left.Seconds())).Str("why", reason).Msg("quarantine status of a content changed")
 }
 
 // notice returns the decoded notice.
--- a/fleet/read_lag.go
+++ b/fleet/read_lag.go
@@ -6,45 +6,46 @@
 	"github.com/aspenswitch/aspenswitch/boottime"
 )
 
-// marks are heartbeats that a router sends to itself, to know how far it is behind with
-// reading what its peers send. The socket is first in, first out: once a mark is read, all
-// that had come before it has been read too.
-type marks struct {
-	// sentAt is when the newest mark was sent, readTo when the newest one that was read
-	// was sent; 0 if none was.
-	sentAt, readTo boottime.Time
+// lagProbe is the state of the heartbeats that a router sends to itself to measure how late
+// it reads its peers' datagrams. The socket is first in, first out: once a probe is read, all
+// datagrams that arrived before it have been read too.
+type lagProbe struct {
+	// sentAt is when the newest probe was sent, readUntil when the newest probe that has
+	// been read was sent; 0 if there is none.
+	sentAt, readUntil boottime.Time
 }
 
-// markEvery is the least time between two marks.
-const markEvery = 20 * time.Millisecond
+// lagProbeInterval is the minimum time between two probes.
+const lagProbeInterval = 20 * time.Millisecond
 
-// sendMark sends a mark unless one is on its way that is young enough.
-func (n *Node) sendMark(now boottime.Time) {
-	if n.marks.sentAt != 0 && now.Sub(n.marks.sentAt) < markEvery {
+// sendLagProbe sends a probe unless the last one was sent within lagProbeInterval.
+func (n *Node) sendLagProbe(now boottime.Time) {
+	if n.lagProbe.sentAt != 0 && now.Sub(n.lagProbe.sentAt) < lagProbeInterval {
 		return
 	}
 	at, ok := n.addrOf(n.cfg.IP)
 	if !ok {
 		return
 	}
-	n.marks.sentAt = now
+	n.lagProbe.sentAt = now
 	n.unreadSince.CompareAndSwap(0, int64(now))
-	n.send(at, &packet{Beat: &beat{Sent: int64(now)}})
+	n.send(at, &packet{Heartbeat: &heartbeat{Sent: int64(now)}})
 }
 
-// readMark takes in a mark of this router.
-func (n *Node) readMark(now boottime.Time, m *beat) {
-	n.marks.readTo = max(n.marks.readTo, boottime.Time(m.Sent))
-	n.readLag.Store(int64(now.Sub(boottime.Time(m.Sent))))
-	if n.marks.readTo == n.marks.sentAt {
+// handleLagProbe records that a probe of this router has been read.
+func (n *Node) handleLagProbe(now boottime.Time, probe *heartbeat) {
+	n.lagProbe.readUntil = max(n.lagProbe.readUntil, boottime.Time(probe.Sent))
+	n.readLag.Store(int64(now.Sub(boottime.Time(probe.Sent))))
+	if n.lagProbe.readUntil == n.lagProbe.sentAt {
 		n.unreadSince.Store(0)
 		return
 	}
-	n.unreadSince.Store(int64(n.marks.sentAt))
+	n.unreadSince.Store(int64(n.lagProbe.sentAt))
 }
 
-// ReadLag implements gateway.Placer: how long the newest mark that was read had waited, or
-// how long one has waited that wasn't. It is zero until a mark was sent.
+// ReadLag implements gateway.Placer. It returns how long the newest probe waited until it was
+// read or how long an unread one has been waiting, whichever is longer. It is zero until a
+// probe has been sent.
 func (n *Node) ReadLag() time.Duration {
 	lag := time.Duration(n.readLag.Load())
 	if since := boottime.Time(n.unreadSince.Load()); since != 0 {
@@ -53,16 +54,16 @@
 	return lag
 }
 
-// viewAge is the age of the published state from which on a router must know whether it
-// is late itself.
-const viewAge = time.Second
+// staleStateAge is the age of the published state from which on a router measures whether it
+// is itself late with reading.
+const staleStateAge = time.Second
 
-// markOldView sends marks while the published state isn't renewed.
-func (n *Node) markOldView(now boottime.Time) {
-	if n.feed != nil && n.feed.Age() > viewAge {
-		n.sendMark(now)
+// probeLagIfStale sends a probe while the published state isn't confirmed.
+func (n *Node) probeLagIfStale(now boottime.Time) {
+	if n.feed != nil && n.feed.Age() > staleStateAge {
+		n.sendLagProbe(now)
 	}
 }
 
-// MarkRead sends a mark, so that ReadLag is renewed.
-func (n *Node) MeasureReadLag() { n.post(inspectEvent{do: n.sendMark}) }
+// MeasureReadLag sends a probe that updates ReadLag.
+func (n *Node) MeasureReadLag() { n.post(callEvent{do: n.sendLagProbe}) }
--- a/fleet/readers.go
+++ b/fleet/readers.go
@@ -7,130 +7,133 @@
 	"github.com/aspenswitch/aspenswitch/boottime"
 )
 
-// maxReaders is how many routers of the whole fleet read the platform. Each call
-// counts, and a change ends every waiting watch; the second reader bridges the
-// loss of the first. The others learn from them: one lead in a failure domain
-// from a reader, the rest of the domain from its lead, so that a state crosses
-// between domains once for each.
+// maxReaders is the number of routers in the fleet that read the platform. Each reader adds
+// calls to the platform, and each change ends every waiting watch; the second reader covers
+// the loss of the first.
+//
+// The other routers receive the state from the readers: the leader of each failure domain
+// from a reader, the rest of the domain from its leader. A state is thus sent to each domain
+// only once.
 const maxReaders = 2
 
-// readerKey is hashed with a router to choose leads.
+// readerKey is the key by which leaders and readers are chosen.
 const readerKey = "reader"
 
-// lead is the router that passes the published state on in a failure domain.
-type lead struct {
+// domainLeader is the router that distributes the published state in a failure domain.
+type domainLeader struct {
 	// peer is nil for this router.
 	peer  *member
 	score float64
-	// old is set if its view is too old to pass on.
-	old bool
+	// stale is set if its view is too old to be distributed.
+	stale bool
 }
 
-// before reports whether a router goes before another as a lead: one whose view is old may
-// be cut off from the platform, and its domain would grow stale with it. Where all views
-// are old the platform is away, and the duty stays where it is: if each router took itself
-// for the only one left to read, hundreds would ask the platform in vain.
-func (l *lead) before(other *lead) bool {
-	if l.old != other.old {
-		return other.old
+// preferredTo reports whether a router is preferred to another one as a leader. A router with
+// a stale view may be cut off from the platform, and its domain's state would become stale with
+// it. If all views are stale, the platform is unavailable and the leaders don't change: if each
+// router made itself a reader instead, hundreds would call the platform in vain.
+func (l *domainLeader) preferredTo(other *domainLeader) bool {
+	if l.stale != other.stale {
+		return other.stale
 	}
 	return l.score > other.score
 }
 
-// chooseReaders finds who reads the platform and whom this router asks how fresh
-// its state is.
+// chooseReaders chooses the routers that read the platform, and polls the router from which
+// this one gets the age of its state.
 func (n *Node) chooseReaders(now boottime.Time) {
-	leads := n.leads(now)
-	order := make([]*lead, 0, len(leads))
-	for _, l := range leads {
+	leaders := n.chooseLeaders(now)
+	order := make([]*domainLeader, 0, len(leaders))
+	for _, l := range leaders {
 		order = append(order, l)
 	}
-	slices.SortFunc(order, func(a, b *lead) int {
-		if a.before(b) {
+	slices.SortFunc(order, func(a, b *domainLeader) int {
+		if a.preferredTo(b) {
 			return -1
 		}
 		return 1
 	})
 	readers := order[:min(maxReaders, len(order))]
-	own := leads[n.cfg.Domain]
-	reads := own.peer == nil && slices.Contains(readers, own)
-	if n.reads.Swap(reads) != reads {
-		n.log.Info().Str("event", "reader").Bool("reads", reads).Int("failure_domains", len(leads)).Msg("duty of reading the platform")
+	local := leaders[n.cfg.Domain]
+	reads := local.peer == nil && slices.Contains(readers, local)
+	if n.readsPlatform.Swap(reads) != reads {
+		n.log.Info().Str("event", "reader").Bool("reads", reads).Int("failure_domains", len(leaders)).Msg("platform reader role of this router changed")
 	}
-	n.leadOf = own.peer
-	n.told = n.told[:0]
-	if own.peer == nil && reads {
+	n.domainLeader = local.peer
+	n.otherLeaders = n.otherLeaders[:0]
+	if local.peer == nil && reads {
 		for _, l := range order {
 			if l.peer != nil {
-				n.told = append(n.told, l.peer)
+				n.otherLeaders = append(n.otherLeaders, l.peer)
 			}
 		}
 	}
-	ask := own.peer
-	if ask == nil && !reads {
-		ask = readers[0].peer
+	source := local.peer
+	if source == nil && !reads {
+		source = readers[0].peer
 	}
-	if ask != nil && now.Sub(ask.pingAt) >= n.cfg.StatePollInterval {
-		ask.pingAt = now
-		n.beatTo(now, ask, true)
+	if source != nil && now.Sub(source.polledAt) >= n.cfg.StatePollInterval {
+		source.polledAt = now
+		n.sendHeartbeat(now, source, true)
 	}
 }
 
-// leads picks the lead of each failure domain by weighted rendezvous, and counts
-// the routers.
-func (n *Node) leads(now boottime.Time) map[string]*lead {
-	own := &lead{score: preference(n.self, n.cfg.Weight, readerKey), old: n.stateOld()}
-	if n.leaving || !n.hub {
-		own.score, own.old = 0, true
+// chooseLeaders chooses the leader of each failure domain by weighted rendezvous hashing, and
+// counts the routers.
+func (n *Node) chooseLeaders(now boottime.Time) map[string]*domainLeader {
+	local := &domainLeader{score: rendezvousScore(n.self, n.cfg.Weight, readerKey), stale: n.stateStale()}
+	if n.leaving || !n.isHub {
+		local.score, local.stale = 0, true
 	}
-	leads := map[string]*lead{n.cfg.Domain: own}
+	leaders := map[string]*domainLeader{n.cfg.Domain: local}
 	live := 1
 	for _, m := range n.members {
 		if !n.usable(now, m) {
 			continue
 		}
 		live++
-		if !m.hub {
+		if !m.isHub {
 			continue
 		}
-		candidate := &lead{peer: m, score: m.readerScore, old: m.stateAge > n.cfg.MaxLeaderStateAge}
-		if l := leads[m.domain]; l == nil || candidate.before(l) {
-			leads[m.domain] = candidate
+		candidate := &domainLeader{peer: m, score: m.readerScore, stale: m.stateAge > n.cfg.MaxLeaderStateAge}
+		if l := leaders[m.domain]; l == nil || candidate.preferredTo(l) {
+			leaders[m.domain] = candidate
 		}
 	}
-	// A share of the fleet's allowance stays with routers that may come back.
-	n.most = max(n.most, live)
-	n.routers.Store(int64(n.most))
-	return leads
+	// The peak is kept, so that the shares of the fleet's allowance that belong to routers that
+	// may return aren't used by the others.
+	n.peakRouters = max(n.peakRouters, live)
+	n.routers.Store(int64(n.peakRouters))
+	return leaders
 }
 
-func (n *Node) stateOld() bool {
+func (n *Node) stateStale() bool {
 	return n.feed != nil && n.feed.Snapshot() != nil && n.feed.Age() > n.cfg.MaxLeaderStateAge
 }
 
-// pushState tells a change at once: a reader tells the leads, a lead tells its
-// failure domain. The others hear of it with the next heartbeat.
+// pushState announces a new revision immediately: a reader sends a heartbeat to the leaders, a
+// leader to its failure domain. Other routers receive it with the next heartbeat.
 func (n *Node) pushState(now boottime.Time) {
 	if n.feed == nil {
 		return
 	}
 	s := n.feed.Snapshot()
-	if s == nil || s.Revision == n.pushed {
+	if s == nil || s.Revision == n.pushedRevision {
 		return
 	}
-	n.pushed = s.Revision
-	if n.leadOf != nil {
+	n.pushedRevision = s.Revision
+	if n.domainLeader != nil {
 		return
 	}
-	for _, m := range n.told {
-		n.beatTo(now, m, false)
+	for _, m := range n.otherLeaders {
+		n.sendHeartbeat(now, m, false)
 	}
 	for _, m := range n.members {
 		if m.domain == n.cfg.Domain {
-			n.beatTo(now, m, false)
+			n.sendHeartbeat(now, m, false)
 		}
 	}
 }
 
-// leadAge is the default of Config.LeadAge.
-const leadAge = 1500 * time.Millisecond
+// defaultMaxLeaderStateAge is the default of Config.MaxLeaderStateAge.
+const defaultMaxLeaderStateAge = 1500 * time.Millisecond
--- a/fleet/shed.go
+++ b/fleet/shed.go
@@ -9,33 +9,33 @@
 	"github.com/aspenswitch/aspenswitch/dispatch"
 )
 
-// shedList collects requests that the gateway refuses by itself until the control
-// goroutine tells the homes: under a flood there are thousands a second, and an
-// event for each would cost what refusing them saves.
+// shedList collects the requests that the gateway refuses without asking a home, until the
+// control goroutine reports them. During a flood there are thousands per second, and one event
+// for each would cost as much as refusing them saves.
 type shedList struct {
 	mu   sync.Mutex
 	list []shedEntry
 }
 
 type shedEntry struct {
-	service string
-	request dispatch.Request
-	print   dispatch.Fingerprint
-	at      boottime.Time
+	service     string
+	request     dispatch.Request
+	fingerprint dispatch.Fingerprint
+	at          boottime.Time
 }
 
-// shedKey names what one message tells of.
+// shedKey identifies the requests that are sent in one report.
 type shedKey struct {
 	group groupKey
 	team  string
 }
 
 const (
-	// maxShed bounds what is collected between two ticks; what comes above it is
-	// forgotten, and its callers count as new when they come back.
-	maxShed = 1024
-	// shedInDatagram keeps a datagram under a kilobyte, at 15 bytes a request.
-	shedInDatagram = 60
+	// maxShedEntries limits the requests that are collected between two ticks. Further
+	// requests are dropped, and their callers count as new when they retry.
+	maxShedEntries = 1024
+	// maxShedPerDatagram keeps a datagram below 1 kB, at 15 bytes per request.
+	maxShedPerDatagram = 60
 )
 
 // Shed implements gateway.Placer.
@@ -46,13 +46,13 @@
 	}
 	n.shed.mu.Lock()
 	defer n.shed.mu.Unlock()
-	if len(n.shed.list) < maxShed {
-		n.shed.list = append(n.shed.list, shedEntry{service: service, request: r, print: f, at: n.now()})
+	if len(n.shed.list) < maxShedEntries {
+		n.shed.list = append(n.shed.list, shedEntry{service: service, request: r, fingerprint: f, at: n.now()})
 	}
 }
 
-// tellShed tells the homes what was shed since the last time.
-func (n *Node) tellShed(now boottime.Time) {
+// reportShed reports the requests that were shed since the last call to their homes.
+func (n *Node) reportShed(now boottime.Time) {
 	n.shed.mu.Lock()
 	list := n.shed.list
 	n.shed.list = nil
@@ -63,45 +63,45 @@
 	}
 	byTeam := map[shedKey][]shedEntry{}
 	for _, e := range list {
-		key := shedKey{group: groupKey{service: e.service, index: n.groupOf(s, e.service, &e.request)}, team: e.request.Team}
+		key := shedKey{group: groupKey{service: e.service, index: n.groupOfRequest(s, e.service, &e.request)}, team: e.request.Team}
 		byTeam[key] = append(byTeam[key], e)
 	}
 	for key, entries := range byTeam {
-		n.tellShedOf(now, key, entries)
+		n.sendShedReports(now, key, entries)
 	}
 }
 
-func (n *Node) tellShedOf(now boottime.Time, key shedKey, entries []shedEntry) {
+func (n *Node) sendShedReports(now boottime.Time, key shedKey, entries []shedEntry) {
 	g := n.group(now, key.group)
 	if g == nil {
 		return
 	}
 	home := n.homeOf(now, g)
-	for part := range slices.Chunk(entries, shedInDatagram) {
-		m := newShed(now, key, part)
+	for part := range slices.Chunk(entries, maxShedPerDatagram) {
+		m := newShedReport(now, key, part)
 		if home == nil {
-			n.takeShed(now, n.self, m)
+			n.handleShedReport(now, n.self, m)
 			continue
 		}
 		n.send(home.addr, &packet{Infrequent: &infrequent{Shed: m}})
 	}
 }
 
-func newShed(now boottime.Time, key shedKey, entries []shedEntry) *shed {
-	m := &shed{Service: key.group.service, Group: key.group.index, Team: key.team}
+func newShedReport(now boottime.Time, key shedKey, entries []shedEntry) *shedReport {
+	m := &shedReport{Service: key.group.service, Group: key.group.index, Team: key.team}
 	tokens := 0.0
 	for _, e := range entries {
 		tokens += dispatch.Tokens(&e.request)
 		m.Requests = append(m.Requests, shedRequest{
-			Fingerprint: uint64(e.print), AgoMs: millis(now.Sub(e.at)), LeftMs: millis(e.request.Left),
+			Fingerprint: uint64(e.fingerprint), AgeMs: millis(now.Sub(e.at)), LeftMs: millis(e.request.Left),
 		})
 	}
 	m.Tokens = int(tokens)
 	return m
 }
 
-// takeShed takes in what a router has shed, as the home of the group.
-func (n *Node) takeShed(now boottime.Time, from uint64, m *shed) {
+// handleShedReport records the requests that a router has shed, as the home of the group.
+func (n *Node) handleShedReport(now boottime.Time, from uint64, m *shedReport) {
 	if n.feed.Snapshot() == nil {
 		return
 	}
@@ -112,7 +112,7 @@
 	var requests []dispatch.Shed
 	for _, r := range m.Requests {
 		requests = append(requests, dispatch.Shed{
-			Fingerprint: dispatch.Fingerprint(r.Fingerprint), Ago: duration(r.AgoMs), Left: duration(r.LeftMs),
+			Fingerprint: dispatch.Fingerprint(r.Fingerprint), Ago: duration(r.AgeMs), Left: duration(r.LeftMs),
 		})
 	}
 	g.core.NoteShed(time.Duration(now), from, m.Team, float64(max(m.Tokens, 0)), requests)
--- a/fleet/size_test.go
+++ b/fleet/size_test.go
@@ -19,25 +19,25 @@
 		p    packet
 		most int
 	}{
-		"heartbeat": {packet{From: 1 << 63, Beat: &beat{
+		"heartbeat": {packet{From: 1 << 63, Heartbeat: &heartbeat{
 			Sent: 1 << 50, Echo: 1 << 50, IP: "10.1.0.33", Domain: "derby-hall", Weight: 0.4, Revision: 100000, AgeNanos: 1 << 30,
 			Peers: []string{"10.1.0.33", "10.2.0.33", "10.3.0.33", "10.4.0.33"},
 		}}, 125},
-		"question": {packet{From: 1 << 63, Ask: &ask{
+		"question": {packet{From: 1 << 63, Ask: &placeRequest{
 			Seq: 1 << 20, ID: id, Service: "huvo11a", Team: "hule930", Rank: 1, Prompt: 9190, Output: 52,
 			Parts:    []part{{ID: 1 << 47, Tokens: 2520}, {ID: 1 << 47, Tokens: 3780}, {ID: 1 << 47, Tokens: 2890}},
 			TargetMs: 800, LeftMs: 6000, Warm: "i-7f3a91c2d0",
 		}}, 130},
-		"decision": {packet{From: 1 << 63, Reply: &reply{Seq: 1 << 20, Service: "huvo11a", Verdict: dispatch.Send, Upstream: "i-7f3a91c2d0", WaitMs: 120}}, 55},
-		"tally": {packet{From: 1 << 63, Infrequent: &infrequent{Tally: &tally{Teams: slices.Repeat([]teamGot{{Team: "hule930", Window: 2.5e6, Lately: 1e6}}, teamsInTally)}}},
-			20 + 20*teamsInTally},
+		"decision": {packet{From: 1 << 63, Reply: &placeReply{Seq: 1 << 20, Service: "huvo11a", Verdict: dispatch.Send, Upstream: "i-7f3a91c2d0", WaitMs: 120}}, 55},
+		"tally": {packet{From: 1 << 63, Infrequent: &infrequent{Usage: &usageReport{Teams: slices.Repeat([]teamUsage{{Team: "hule930", Window: 2.5e6, Lately: 1e6}}, maxTeamsPerReport)}}},
+			20 + 20*maxTeamsPerReport},
 		"crash": {packet{From: 1 << 63, Infrequent: &infrequent{Quarantine: &quarantineUpdate{Crashes: []crashReport{{
 			Team: "hule930", Hash: 1 << 63, Upstream: 1 << 31, RanMs: 2000,
 		}}}}}, 60},
 		"notices": {packet{From: 1 << 63, Infrequent: &infrequent{Quarantine: &quarantineUpdate{Notices: slices.Repeat([]statusNotice{{
 			Team: "hule930", Hash: 1 << 63, Status: quarantine.Quarantined, Version: 3, LeftS: 7200,
-		}}, noticesInDatagram)}}}, 20 + 30*noticesInDatagram},
-		"report": {packet{From: 1 << 63, Report: &report{Kind: ended, Seq: 1 << 20, Service: "huvo11a", TookMs: 2000}}, 45},
+		}}, maxNoticesPerDatagram)}}}, 20 + 30*maxNoticesPerDatagram},
+		"report": {packet{From: 1 << 63, Report: &report{Kind: reportEnded, Seq: 1 << 20, Service: "huvo11a", DurationMs: 2000}}, 45},
 	}
 	for name, c := range cases {
 		raw, err := cbor.Marshal(&c.p)
--- a/fleet/sockets.go
+++ b/fleet/sockets.go
@@ -9,13 +9,13 @@
 	"github.com/zeebo/errs"
 )
 
-// sockets is the Transport over UDP and TCP, both on one port.
+// sockets is a Transport over UDP and TCP on the same port.
 type sockets struct {
 	datagrams *net.UDPConn
 	streams   net.Listener
 }
 
-// Listen opens the transport of a router at an address.
+// Listen opens a transport over UDP and TCP at an address.
 func Listen(ip string, port int) (Transport, error) {
 	addr, err := netip.ParseAddr(ip)
 	if err != nil {
--- a/fleet/team_usage.go
+++ b/fleet/team_usage.go
@@ -13,50 +13,53 @@
 )
 
 const (
-	// minTallyEvery is the time between two tallies of a home: a fifth of the span of
-	// teams' rates.
-	minTallyEvery = 200 * time.Millisecond
-	// maxTallyEvery is less than the time for which a tally stays as it was told.
-	maxTallyEvery = 900 * time.Millisecond
-	// tallyPerTeam stretches that time, so that a home tells of a thousand teams a
-	// second at most, however many wait.
-	tallyPerTeam = time.Millisecond
-	// tallyParts divides the teams over the hubs that add up.
-	tallyParts = 8
-	// teamsInTally keeps a datagram under a kilobyte and a half, at 20 bytes a team.
-	teamsInTally = 60
+	// minUsageInterval is the minimum time between two usage reports of a home: a fifth of
+	// the window of the teams' rates.
+	minUsageInterval = 200 * time.Millisecond
+	// maxUsageInterval is less than the time for which a ledger keeps reported usage
+	// undecayed.
+	maxUsageInterval = 900 * time.Millisecond
+	// usageIntervalPerTeam increases the interval with the number of teams, so that a home
+	// reports at most 1000 teams per second, however many are waiting.
+	usageIntervalPerTeam = time.Millisecond
+	// usagePartitions is the number of partitions of the teams. The usage of each partition
+	// is aggregated by one hub.
+	usagePartitions = 8
+	// maxTeamsPerReport keeps a datagram below 1.5 kB, at 20 bytes per team.
+	maxTeamsPerReport = 60
 )
 
-// tallyPart is the part of the teams to which one belongs.
-func tallyPart(team string) int { return int(xxhash.Sum64String(team) % tallyParts) }
+// usagePartition returns the partition of a team.
+func usagePartition(team string) int { return int(xxhash.Sum64String(team) % usagePartitions) }
 
-// tallyKey names that part where its hub is chosen.
-func tallyKey(team string) string { return "teams/" + strconv.Itoa(tallyPart(team)) }
+// usageKey returns the key by which the hub of a team's partition is chosen.
+func usageKey(team string) string { return "teams/" + strconv.Itoa(usagePartition(team)) }
 
-// tellTallies tells what this router's homes gave to teams. Each team has a hub that adds
-// up what all homes gave it, and answers with what the others did.
-func (n *Node) tellTallies(now boottime.Time) {
-	if now.Sub(n.talliedAt) < n.tallyEvery || n.fewGroups() {
+// reportUsage reports the usage of teams at this router's groups. Each team has a hub that
+// aggregates its usage over all homes, and replies with its usage at the other routers.
+func (n *Node) reportUsage(now boottime.Time) {
+	if now.Sub(n.usageSentAt) < n.usageInterval || n.singleGroup() {
 		return
 	}
-	n.talliedAt = now
+	n.usageSentAt = now
 	for _, l := range n.ledgers {
 		l.Sweep(time.Duration(now))
 	}
-	byHub := map[*member][]teamGot{}
-	teams := n.teamsServed(now)
+	byHub := map[*member][]teamUsage{}
+	teams := n.localUsage(now)
 	for _, t := range teams {
-		hub := n.hubFor(now, tallyKey(t.Team))
-		byHub[hub] = append(byHub[hub], newTeamGot(t.Team, t.Got))
+		hub := n.hubFor(now, usageKey(t.Team))
+		byHub[hub] = append(byHub[hub], newTeamUsage(t.Team, t.Got))
 	}
-	n.tallyEvery = min(max(time.Duration(len(teams))*tallyPerTeam, minTallyEvery), maxTallyEvery)
+	n.usageInterval = min(max(time.Duration(len(teams))*usageIntervalPerTeam, minUsageInterval), maxUsageInterval)
 	for hub, part := range byHub {
-		n.sendTally(now, hub, part)
+		n.sendUsage(now, hub, part)
 	}
 }
 
-// fewGroups reports whether one home decides on all engines: it knows what teams got.
-func (n *Node) fewGroups() bool {
+// singleGroup reports whether there is at most one group of engines. Its home then has the
+// complete usage of all teams.
+func (n *Node) singleGroup() bool {
 	s := n.feed.Snapshot()
 	if s == nil {
 		return true
@@ -64,14 +67,14 @@
 	groups := 0
 	for i := range s.Table.Config.Services {
 		if svc := &s.Table.Config.Services[i]; svc.Engine != nil {
-			groups += n.counts.of(svc.Name, len(s.View.Ready(svc.Name)))
+			groups += n.groupCounts.update(svc.Name, len(s.View.Ready(svc.Name)))
 		}
 	}
 	return groups <= 1
 }
 
-// teamsServed sums up what this router's homes gave to teams, in the teams' order.
-func (n *Node) teamsServed(now boottime.Time) []dispatch.TeamGot {
+// localUsage returns the usage of teams at this router's groups, sorted by team.
+func (n *Node) localUsage(now boottime.Time) []dispatch.TeamGot {
 	all := map[string]dispatch.Got{}
 	for _, g := range n.groups {
 		for _, t := range g.core.Tell(time.Duration(now)) {
@@ -80,17 +83,17 @@
 	}
 	out := make([]dispatch.TeamGot, 0, len(all))
 	for team := range all {
-		out = append(out, dispatch.TeamGot{Team: team, Got: n.servedBy(now, team, nil)})
+		out = append(out, dispatch.TeamGot{Team: team, Got: n.localUsageOf(now, team, nil)})
 	}
 	slices.SortFunc(out, func(a, b dispatch.TeamGot) int { return strings.Compare(a.Team, b.Team) })
 	return out
 }
 
-// servedBy is what this router's homes gave to a team, all but one.
-func (n *Node) servedBy(now boottime.Time, team string, but *group) dispatch.Got {
+// localUsageOf returns the usage of a team at all of this router's groups except one.
+func (n *Node) localUsageOf(now boottime.Time, team string, except *group) dispatch.Got {
 	var got dispatch.Got
 	for _, g := range n.groups {
-		if g == but {
+		if g == except {
 			continue
 		}
 		served := g.core.Served(time.Duration(now), team)
@@ -100,53 +103,54 @@
 	return got
 }
 
-// sendTally tells a hub, nil for this router, what teams got from this router's homes.
-func (n *Node) sendTally(now boottime.Time, hub *member, teams []teamGot) {
+// sendUsage reports this router's usage of teams to a hub, nil for this router.
+func (n *Node) sendUsage(now boottime.Time, hub *member, teams []teamUsage) {
 	if hub == nil {
-		n.takeOthers(now, n.addUp(now, n.self, teams))
+		n.applyRemoteUsage(now, n.aggregateUsage(now, n.self, teams))
 		return
 	}
-	for part := range slices.Chunk(teams, teamsInTally) {
-		n.send(hub.addr, &packet{Infrequent: &infrequent{Tally: &tally{Teams: part}}})
+	for part := range slices.Chunk(teams, maxTeamsPerReport) {
+		n.send(hub.addr, &packet{Infrequent: &infrequent{Usage: &usageReport{Teams: part}}})
 	}
 }
 
-// takeTally takes in a peer's tally, or the answer to one.
-func (n *Node) takeTally(now boottime.Time, from uint64, t *tally) {
+// handleUsageReport applies a peer's usage report, or the reply to one of this router.
+func (n *Node) handleUsageReport(now boottime.Time, from uint64, report *usageReport) {
 	m := n.members[from]
-	if m == nil || len(t.Teams) > teamsInTally {
+	if m == nil || len(report.Teams) > maxTeamsPerReport {
 		return
 	}
-	if t.Return {
-		n.takeOthers(now, t.Teams)
+	if report.IsReply {
+		n.applyRemoteUsage(now, report.Teams)
 		return
 	}
-	if others := n.addUp(now, from, t.Teams); len(others) > 0 {
-		n.send(m.addr, &packet{Infrequent: &infrequent{Tally: &tally{Return: true, Teams: others}}})
+	if others := n.aggregateUsage(now, from, report.Teams); len(others) > 0 {
+		n.send(m.addr, &packet{Infrequent: &infrequent{Usage: &usageReport{IsReply: true, Teams: others}}})
 	}
 }
 
-// addUp notes what a router's homes gave to teams, and returns what all others did.
-func (n *Node) addUp(now boottime.Time, router uint64, teams []teamGot) []teamGot {
-	others := make([]teamGot, 0, len(teams))
+// aggregateUsage records the usage of teams at a router, and returns their usage at all
+// others.
+func (n *Node) aggregateUsage(now boottime.Time, router uint64, teams []teamUsage) []teamUsage {
+	others := make([]teamUsage, 0, len(teams))
 	for i := range teams {
 		t := &teams[i]
-		l := n.ledgers[tallyPart(t.Team)]
-		l.Tell(time.Duration(now), router, t.Team, t.got())
+		l := n.ledgers[usagePartition(t.Team)]
+		l.Tell(time.Duration(now), router, t.Team, t.validUsage())
 		if got, ok := l.Others(time.Duration(now), router, t.Team); ok {
-			others = append(others, newTeamGot(t.Team, got))
+			others = append(others, newTeamUsage(t.Team, got))
 		}
 	}
 	return others
 }
 
-// takeOthers takes in what teams got from the homes of other routers.
-func (n *Node) takeOthers(now boottime.Time, teams []teamGot) {
+// applyRemoteUsage updates this router's groups with the usage of teams at other routers.
+func (n *Node) applyRemoteUsage(now boottime.Time, teams []teamUsage) {
 	for i := range teams {
 		t := &teams[i]
-		others := t.got()
+		others := t.validUsage()
 		for _, g := range n.groups {
-			own := n.servedBy(now, t.Team, g)
+			own := n.localUsageOf(now, t.Team, g)
 			g.core.Elsewhere(time.Duration(now), t.Team, dispatch.Got{
 				Window: others.Window + own.Window, Lately: others.Lately + own.Lately,
 			})
@@ -154,21 +158,21 @@
 	}
 }
 
-func newTeamGot(team string, got dispatch.Got) teamGot {
-	return teamGot{Team: team, Window: float32(got.Window), Lately: float32(got.Lately)}
+func newTeamUsage(team string, got dispatch.Got) teamUsage {
+	return teamUsage{Team: team, Window: float32(got.Window), Lately: float32(got.Lately)}
 }
 
-// got is what a peer told of a team. Numbers that can't be tokens count as nothing: they
-// would spoil the shares of all teams.
-func (t *teamGot) got() dispatch.Got {
-	return dispatch.Got{Window: toldTokens(t.Window), Lately: toldTokens(t.Lately)}
+// validUsage returns the usage that a peer has reported. Invalid numbers count as zero,
+// because they would distort the shares of all teams.
+func (t *teamUsage) validUsage() dispatch.Got {
+	return dispatch.Got{Window: validTokens(t.Window), Lately: validTokens(t.Lately)}
 }
 
-// mostTold is above what any team gets within a share's window.
-const mostTold = 1e12
+// maxTokens is more than any team uses within the window of the shares.
+const maxTokens = 1e12
 
-func toldTokens(told float32) float64 {
-	if tokens := float64(told); tokens > 0 && tokens < mostTold {
+func validTokens(received float32) float64 {
+	if tokens := float64(received); tokens > 0 && tokens < maxTokens {
 		return tokens
 	}
 	return 0
--- a/fleet/transport.go
+++ b/fleet/transport.go
@@ -6,18 +6,17 @@
 	"net/netip"
 )
 
-// Transport carries messages between routers. Its methods may be called by many
-// goroutines.
+// Transport carries messages between routers. Its methods are safe for concurrent use.
 type Transport interface {
-	// Send sends a datagram. It may be lost, doubled or late; one that fails counts
-	// as lost.
+	// Send sends a datagram. Datagrams may be lost, duplicated or delayed; a failed send is
+	// treated as a loss.
 	Send(to netip.AddrPort, datagram []byte) error
-	// Receive waits for a datagram. It returns its size and sender, and fails once
+	// Receive waits for a datagram and returns its size and sender. It returns an error once
 	// the transport is closed.
 	Receive(into []byte) (int, netip.AddrPort, error)
-	// Dial opens a stream to a peer, for what is too large for a datagram.
+	// Dial opens a stream to a peer, for messages that are too large for a datagram.
 	Dial(ctx context.Context, to netip.AddrPort) (net.Conn, error)
-	// Accept waits for a peer's stream. It fails once the transport is closed.
+	// Accept waits for a stream from a peer. It returns an error once the transport is closed.
 	Accept() (net.Conn, error)
 	Close() error
 }
--- a/fleet/trial.go
+++ b/fleet/trial.go
@@ -33,7 +33,7 @@
 	case granted := <-answer:
 		return granted
 	case <-ctx.Done():
-	case <-n.over:
+	case <-n.done:
 	}
 	return false
 }
@@ -54,9 +54,9 @@
 	n.sendTrialMessage(hub, trialMessage{Team: e.id.Team, Hash: e.id.Hash})
 }
 
-// takeTrialMessage decides on a trial that a peer asks for, or passes the hub's answer to the
+// handleTrialMessage decides on a trial that a peer asks for, or passes the hub's answer to the
 // request that waits for it.
-func (n *Node) takeTrialMessage(now boottime.Time, from *member, m *trialMessage) {
+func (n *Node) handleTrialMessage(now boottime.Time, from *member, m *trialMessage) {
 	id := quarantine.ContentID{Team: m.Team, Hash: m.Hash}
 	if !m.Answer {
 		granted := n.quarantine.table.GrantTrial(time.Duration(now), id)
--- a/fleet/warmup.go
+++ b/fleet/warmup.go
@@ -8,8 +8,8 @@
 	"github.com/aspenswitch/aspenswitch/warmup"
 )
 
-// warmUntil is when an upstream has warmed up. After an evacuation it may be cold without
-// having said so yet.
+// warmUntil returns when an upstream will have warmed up. After an evacuation, an upstream may
+// be cold although its entry doesn't show it yet.
 func warmUntil(v *registry.View, u *registry.Upstream, limit warmup.Limit) boottime.Time {
 	until := u.WarmUntil
 	if reopened := v.ReopenedAt(u.FailureDomain); reopened != 0 {
@@ -18,49 +18,51 @@
 	return until
 }
 
-// updateWarmUpGrant lets a group's core send to upstreams that are warming up, or stops it.
+// updateWarmUpGrant allows or forbids a group's core to send requests to upstreams that are
+// warming up.
 func (n *Node) updateWarmUpGrant(now boottime.Time, g *group) {
 	isHome := g.home == n.self && !n.leaving && now.Sub(g.homeSince) >= warmup.TakeoverDelay
-	g.core.GrantWarmUp(isHome && n.hearsMajority(now))
+	g.core.GrantWarmUp(isHome && n.hasQuorum(now))
 }
 
 const (
-	// majoritySilence is how long a member may be silent and still count as heard. A home is a
-	// hub, which all members send heartbeats to every period.
-	majoritySilence = 3
-	// fleetMemory is how long the number of routers is remembered. A router that is cut off
-	// must not take what it still hears for the whole fleet.
-	fleetMemory = 2 * time.Minute
+	// quorumHeartbeats is the number of heartbeat intervals without contact up to which a
+	// member counts towards the quorum. A home is a hub, to which all members send a
+	// heartbeat in each interval.
+	quorumHeartbeats = 3
+	// fleetSizeWindow is how long the peak number of routers is kept. A router that is cut
+	// off must not treat the routers that it can still reach as the whole fleet.
+	fleetSizeWindow = 2 * time.Minute
 )
 
-// fleetSize is the largest number of routers that was known within fleetMemory.
+// fleetSize is the largest number of routers within fleetSizeWindow.
 type fleetSize struct {
-	most int
+	peak int
 	at   boottime.Time
 }
 
 func (s *fleetSize) observe(now boottime.Time, routers int) {
-	if routers >= s.most || now.Sub(s.at) > fleetMemory {
-		s.most, s.at = routers, now
+	if routers >= s.peak || now.Sub(s.at) > fleetSizeWindow {
+		s.peak, s.at = routers, now
 	}
 }
 
-// hearsMajority reports whether this router hears more than half of the routers that there
-// were of late, and any router at all if its seeds name others.
-func (n *Node) hearsMajority(now boottime.Time) bool {
-	heard := 1
+// hasQuorum reports whether this router is in contact with more than half of the recent
+// number of routers, itself included, and with at least one other if its seeds list others.
+func (n *Node) hasQuorum(now boottime.Time) bool {
+	reachable := 1
 	for _, m := range n.members {
-		if now.Sub(m.heard) < majoritySilence*n.period() {
-			heard++
+		if now.Sub(m.lastContact) < quorumHeartbeats*n.heartbeatInterval() {
+			reachable++
 		}
 	}
-	if heard == 1 && n.seedsNameOthers() {
+	if reachable == 1 && n.hasOtherSeeds() {
 		return false
 	}
-	return 2*heard > n.fleetSize.most
+	return 2*reachable > n.fleetSize.peak
 }
 
-func (n *Node) seedsNameOthers() bool {
+func (n *Node) hasOtherSeeds() bool {
 	for _, ip := range n.cfg.Seeds {
 		if ip != n.cfg.IP {
 			return true
