--- a/fleet/behind_test.go
+++ b/fleet/behind_test.go
@@ -12,21 +12,21 @@
 	"github.com/aspenswitch/aspenswitch/fleet"
 )
 
-// decidedBy is how many requests a router has decided on, for itself or others.
-func decidedBy(m *member) int {
-	asked := 0
+// decisionsBy returns the number of requests that a router has decided on, for itself or others.
+func decisionsBy(m *member) int {
+	decisions := 0
 	for _, g := range m.node.Dump().Groups {
-		asked += g.State.Counts.Asked
+		decisions += g.State.Counts.Asked
 	}
-	return asked
+	return decisions
 }
 
 // homeAndOther returns the home of the service and a router that isn't it.
 func homeAndOther(g *WithT, all []*member) (home, other *member) {
-	_, _, err := ask(all[0], 1)
+	_, _, err := requestPlacement(all[0], 1)
 	g.Expect(err).NotTo(HaveOccurred())
 	for _, m := range all {
-		if decidedBy(m) > 0 {
+		if decisionsBy(m) > 0 {
 			home = m
 		} else {
 			other = m
@@ -36,13 +36,12 @@
 	return home, other
 }
 
-// askMany asks for requests one after the other, each a while after the one before, and
-// returns what was decided.
-func askMany(g *WithT, m *member, requests int, gap time.Duration) []dispatch.Verdict {
+// requestPlacements sends placement requests at intervals of gap and returns their verdicts.
+func requestPlacements(g *WithT, m *member, requests int, gap time.Duration) []dispatch.Verdict {
 	answered := make(chan dispatch.Verdict, requests)
 	for i := range requests {
 		go func() {
-			d, ticket, err := ask(m, uint64(100+i))
+			d, ticket, err := requestPlacement(m, uint64(100+i))
 			g.Expect(err).NotTo(HaveOccurred())
 			m.node.Done("llm", ticket, dispatch.Served, time.Second)
 			answered <- d.Verdict
@@ -56,8 +55,8 @@
 	return verdicts
 }
 
-// keepBusy takes the processor of a router away for most of the time until ctx
-// ends: what comes in is handled in the short while between.
+// keepBusy blocks the control goroutine of a router repeatedly until ctx is done. Events are
+// handled only in the time free between.
 func keepBusy(ctx context.Context, n *fleet.Node, busy, free time.Duration) {
 	for ctx.Err() == nil {
 		n.BlockControl(busy)
@@ -65,45 +64,46 @@
 	}
 }
 
-// Guards against a late router that decides past its home and the teams' shares.
+// Guards against a router with a high lag that decides by itself, without regard to its home
+// and the teams' shares.
 func TestRouterThatIsBehindDoesNotDecideByItself(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		c := startCluster(t, 4, &source{revision: 1, version: 1})
-		home, behind := homeAndOther(g, c.all)
+		home, late := homeAndOther(g, c.all)
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		c.net.readLate(behind.addr, 150*time.Millisecond)
-		go keepBusy(ctx, behind.node, 60*time.Millisecond, 10*time.Millisecond)
-		before := decidedBy(home)
+		c.net.setReadDelay(late.addr, 150*time.Millisecond)
+		go keepBusy(ctx, late.node, 60*time.Millisecond, 10*time.Millisecond)
+		before := decisionsBy(home)
 		const requests = 40
-		askMany(g, behind, requests, 30*time.Millisecond)
+		requestPlacements(g, late, requests, 30*time.Millisecond)
 		cancel()
 		time.Sleep(time.Second)
-		g.Expect(decidedBy(behind)).To(BeZero(), "decided without the home")
-		g.Expect(decidedBy(home) - before).To(BeNumerically(">=", requests*3/4))
+		g.Expect(decisionsBy(late)).To(BeZero(), "decided without the home")
+		g.Expect(decisionsBy(home) - before).To(BeNumerically(">=", requests*3/4))
 	})
 }
 
-// Guards against a second home beside one whose answers a router hasn't read yet.
+// Guards against asking a second home while the replies of the first one haven't been read yet.
 func TestRouterThatReadsLateKeepsItsHome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		c := startCluster(t, 4, &source{revision: 1, version: 1})
 		home, late := homeAndOther(g, c.all)
-		c.net.readLate(late.addr, 150*time.Millisecond)
-		for _, verdict := range askMany(g, late, 40, 10*time.Millisecond) {
+		c.net.setReadDelay(late.addr, 150*time.Millisecond)
+		for _, verdict := range requestPlacements(g, late, 40, 10*time.Millisecond) {
 			g.Expect(verdict).To(Equal(dispatch.Send))
 		}
 		for _, m := range c.all {
 			if m != home {
-				g.Expect(decidedBy(m)).To(BeZero(), "decided beside the home")
+				g.Expect(decisionsBy(m)).To(BeZero(), "decided in addition to the home")
 			}
 		}
 	})
 }
 
-// Guards against several routers that decide for the upstreams of a lost home.
+// Guards against several routers that decide on the same upstreams after their home is lost.
 func TestSuccessorOfASilentHomeDecides(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -114,13 +114,13 @@
 			if m == home {
 				continue
 			}
-			d, _, err := ask(m, uint64(10+i))
+			d, _, err := requestPlacement(m, uint64(10+i))
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(d.Verdict).To(Equal(dispatch.Send))
 		}
 		deciders := 0
 		for _, m := range c.all {
-			if m != home && decidedBy(m) > 0 {
+			if m != home && decisionsBy(m) > 0 {
 				deciders++
 			}
 		}
@@ -128,19 +128,19 @@
 	})
 }
 
-// Guards against callers of a router that is cut off who wait for one home after the other.
+// Guards against requests at an isolated router that wait for one home after the other.
 func TestIsolatedRouterDecidesByItself(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		c := startCluster(t, 6, &source{revision: 1, version: 1})
-		_, alone := homeAndOther(g, c.all)
-		c.net.isolate(alone.addr)
+		_, isolated := homeAndOther(g, c.all)
+		c.net.isolate(isolated.addr)
 		time.Sleep(500 * time.Millisecond)
 		began := time.Now()
-		d, _, err := ask(alone, 10)
+		d, _, err := requestPlacement(isolated, 10)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(d.Verdict).To(Equal(dispatch.Send))
 		g.Expect(time.Since(began)).To(BeNumerically("<", 150*time.Millisecond))
-		g.Expect(decidedBy(alone)).To(Equal(1))
+		g.Expect(decisionsBy(isolated)).To(Equal(1))
 	})
 }
--- a/fleet/export_test.go
+++ b/fleet/export_test.go
@@ -10,16 +10,16 @@
 	"github.com/aspenswitch/aspenswitch/dispatch"
 )
 
-// Hold keeps the control goroutine busy for a while, as a VM does whose processor
-// is taken up by other work. Call it from a goroutine of its own.
+// BlockControl blocks the control goroutine for a duration, as on a VM whose processor is
+// used by other work.
 func (n *Node) BlockControl(d time.Duration) {
 	n.post(callEvent{do: func(boottime.Time) { time.Sleep(d) }})
 }
 
-// Addrs are where a transport is heard, for port 0.
+// Addrs are the addresses of a transport. They differ if it was opened with port 0.
 type Addrs struct{ Datagrams, Streams netip.AddrPort }
 
-// LocalAddr returns where a transport of Listen is heard.
+// LocalAddr returns the addresses of a transport that Listen has returned.
 func LocalAddr(t Transport) Addrs {
 	s := t.(*sockets)
 	return Addrs{
@@ -28,8 +28,8 @@
 	}
 }
 
-// Account is how a team stands at a group's home, which must be this router; ok is unset
-// if it is another.
+// TeamAccount returns the state of a team at a group. It returns false if this router isn't
+// the home of the group or the team isn't found.
 func (n *Node) TeamAccount(service string, group int, team string) (state dispatch.TeamState, ok bool) {
 	type answer struct {
 		state dispatch.TeamState
@@ -54,14 +54,15 @@
 	return a.state, a.ok
 }
 
-// AddsUp reports whether this router adds up what homes gave a team, as it sees the fleet.
+// AggregatesUsage reports whether this router considers itself the hub that aggregates a
+// team's usage.
 func (n *Node) AggregatesUsage(team string) bool {
 	answers := make(chan bool, 1)
 	n.post(callEvent{do: func(now boottime.Time) { answers <- n.hubFor(now, usageKey(team)) == nil }})
 	return <-answers
 }
 
-// Served is what this router gave to a team as the home of a group, now or before.
+// Served returns the usage of a team at a group of which this router is or was the home.
 func (n *Node) Served(service string, group int, team string) dispatch.Got {
 	answers := make(chan dispatch.Got, 1)
 	n.post(callEvent{do: func(now boottime.Time) {
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -22,28 +22,28 @@
 	"github.com/aspenswitch/aspenswitch/routing"
 )
 
-// source is a platform that publishes one state; it can be taken away.
+// source is a platform that publishes one state and can be made unavailable.
 type source struct {
-	mu       sync.Mutex
-	revision int64
-	version  int64
-	away     bool
-	// edit, if set, changes what is published.
+	mu          sync.Mutex
+	revision    int64
+	version     int64
+	unavailable bool
+	// edit modifies the published batch if it isn't nil.
 	edit  func(*feed.Batch)
 	calls atomic.Int64
-	// changed is closed with the next change.
+	// changed is closed on the next change.
 	changed chan struct{}
 }
 
-// state returns what is published, nil while the platform is away, and what closes
-// with the next change.
+// state returns the published batch, nil while the platform is unavailable, and a channel
+// that is closed on the next change.
 func (s *source) state() (*feed.Batch, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.changed == nil {
 		s.changed = make(chan struct{})
 	}
-	if s.away {
+	if s.unavailable {
 		return nil, s.changed
 	}
 	b := &feed.Batch{Revision: s.revision, Changes: []feed.Change{{Revision: s.revision, Config: &routing.Config{
@@ -62,11 +62,11 @@
 	return b, s.changed
 }
 
-// change changes what is published.
-func (s *source) change(do func()) {
+// change updates the source and ends its waiting watches.
+func (s *source) change(update func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	do()
+	update()
 	if s.changed != nil {
 		close(s.changed)
 		s.changed = nil
@@ -80,13 +80,13 @@
 	})
 }
 
-var errAway = errors.New("platform is away")
+var errUnavailable = errors.New("platform is unavailable")
 
 func (s *source) List(context.Context) (feed.Batch, error) {
 	s.calls.Add(1)
 	b, _ := s.state()
 	if b == nil {
-		return feed.Batch{}, errAway
+		return feed.Batch{}, errUnavailable
 	}
 	return *b, nil
 }
@@ -98,7 +98,7 @@
 	for {
 		b, changed := s.state()
 		if b == nil {
-			return feed.Batch{}, errAway
+			return feed.Batch{}, errUnavailable
 		}
 		if b.Revision > after {
 			return *b, nil
@@ -113,10 +113,10 @@
 	}
 }
 
-// revoke is how long a view may be acted upon in these tests.
-const revoke = 2 * time.Second
+// revokeTimeout is the age up to which a router may act on its view.
+const revokeTimeout = 2 * time.Second
 
-// member is a router of the test's fleet.
+// member is a router of the tested fleet.
 type member struct {
 	node *fleet.Node
 	feed *feed.Feed
@@ -125,32 +125,31 @@
 	addr netip.AddrPort
 }
 
-// addr is the address of the i-th router.
+// addr returns the address of the i-th router.
 func addr(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7400)
 }
 
-// settle is longer than any call of a router takes to end with it.
-const settle = 5 * time.Second
+// shutdownTime is longer than any call of a router takes to end after the router stops.
+const shutdownTime = 5 * time.Second
 
-// cluster is a fleet in virtual time, in one failure domain unless shape says
-// otherwise.
+// cluster is a fleet in virtual time, in one failure domain unless configure sets others.
 type cluster struct {
 	t   *testing.T
 	net *network
 	all []*member
-	// shape changes a router's configuration.
-	shape func(i int, c *fleet.Config)
-	// up is how long VMs have been up when a router starts.
-	up time.Duration
+	// configure modifies the configuration of the i-th router.
+	configure func(i int, c *fleet.Config)
+	// uptime is the uptime of the VM when a router starts.
+	uptime time.Duration
 }
 
 func newCluster(t *testing.T) *cluster {
-	return &cluster{t: t, net: newNetwork(1), shape: func(int, *fleet.Config) {}, up: time.Hour}
+	return &cluster{t: t, net: newNetwork(1), configure: func(int, *fleet.Config) {}, uptime: time.Hour}
 }
 
-// start runs n routers that know the first as a seed, and waits until they know
-// each other.
+// start runs n routers with the first one as their seed, and waits until all of them are
+// members of each other and have a state.
 func start(t *testing.T, n int, sources ...*source) []*member {
 	t.Helper()
 	return startCluster(t, n, sources...).all
@@ -180,12 +179,12 @@
 	cfg := fleet.DefaultConfig()
 	cfg.IP, cfg.Port, cfg.Domain, cfg.Weight = addr(i).Addr().String(), int(addr(i).Port()), "d", 1
 	cfg.Seeds, cfg.RandomSeed = []string{addr(0).Addr().String()}, uint64(i+1)
-	cfg.MaxLeaderStateAge = feed.DefaultConfig(revoke, revoke).StaleAfter
-	c.shape(i, &cfg)
-	began := time.Now().Add(-c.up)
-	now := func() boottime.Time { return boottime.Time(time.Since(began)) }
+	cfg.MaxLeaderStateAge = feed.DefaultConfig(revokeTimeout, revokeTimeout).StaleAfter
+	c.configure(i, &cfg)
+	bootedAt := time.Now().Add(-c.uptime)
+	now := func() boottime.Time { return boottime.Time(time.Since(bootedAt)) }
 	m := &member{node: fleet.New(cfg, c.net.listen(addr(i)), now, zerolog.Nop()), done: make(chan struct{}), addr: addr(i)}
-	m.feed = feed.New(feed.DefaultConfig(revoke, revoke), s, now, zerolog.Nop(), m.node.ReadsPlatform, m.node.NotifyStateChange)
+	m.feed = feed.New(feed.DefaultConfig(revokeTimeout, revokeTimeout), s, now, zerolog.Nop(), m.node.ReadsPlatform, m.node.NotifyStateChange)
 	m.node.Attach(m.feed)
 	ctx, cancel := context.WithCancel(context.Background())
 	m.stop = cancel
@@ -196,12 +195,12 @@
 	}()
 	c.t.Cleanup(func() {
 		cancel()
-		time.Sleep(settle)
+		time.Sleep(shutdownTime)
 	})
 	c.all = append(c.all, m)
 }
 
-func ask(m *member, session uint64) (dispatch.Decision, dispatch.Ticket, error) {
+func requestPlacement(m *member, session uint64) (dispatch.Decision, dispatch.Ticket, error) {
 	r := dispatch.Request{
 		Ticket: m.node.NewTicket(), Team: "a", Prompt: 3000, Output: 10, Target: 5 * time.Second, Left: 10 * time.Second,
 		Parts: []dispatch.Part{{ID: session, Tokens: 2000}, {ID: 1 << 50, Tokens: 1000}},
@@ -212,8 +211,8 @@
 	return d, r.Ticket, err
 }
 
-// A session's parts are cached at one upstream; whichever router its requests
-// reach, they go there.
+// Guards against routers that send requests of one session to different upstreams. Its prompt
+// parts are cached at only one of them.
 func TestAllRoutersSendASessionToTheSameUpstream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -221,7 +220,7 @@
 		chosen := ""
 		for i := range 8 {
 			m := all[i%len(all)]
-			d, ticket, err := ask(m, 5)
+			d, ticket, err := requestPlacement(m, 5)
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(d.Verdict).To(Equal(dispatch.Send))
 			if chosen == "" {
@@ -234,38 +233,38 @@
 	})
 }
 
-// The home of a service dies with requests on their way to it. Callers must not
-// wait for it: the routers that asked decide, and a new home takes over.
+// Guards against requests that wait for a home that has stopped without notice. Routers that
+// get no answer must decide, and a new home must be chosen.
 func TestRequestsArePlacedWhenTheHomeIsGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		all := start(t, 4, &source{revision: 1, version: 1})
-		_, _, err := ask(all[0], 5)
+		_, _, err := requestPlacement(all[0], 5)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Eventually(func() uint64 { return home(all[0]) }, 5*time.Second, 10*time.Millisecond).ShouldNot(BeZero())
-		gone := home(all[0])
-		var left []*member
+		stopped := home(all[0])
+		var remaining []*member
 		for _, m := range all {
-			if m.node.Dump().Router == gone {
+			if m.node.Dump().Router == stopped {
 				m.stop()
 				<-m.done
 				continue
 			}
-			left = append(left, m)
+			remaining = append(remaining, m)
 		}
-		g.Expect(left).To(HaveLen(3))
+		g.Expect(remaining).To(HaveLen(3))
 		for i := range 12 {
-			d, ticket, err := ask(left[i%3], uint64(i))
+			d, ticket, err := requestPlacement(remaining[i%3], uint64(i))
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(d.Verdict).To(Equal(dispatch.Send))
-			left[i%3].node.Done("llm", ticket, dispatch.Served, time.Second)
+			remaining[i%3].node.Done("llm", ticket, dispatch.Served, time.Second)
 		}
-		g.Eventually(func() []uint64 { return []uint64{home(left[0]), home(left[1]), home(left[2])} }, 10*time.Second, 20*time.Millisecond).
-			ShouldNot(ContainElement(gone))
+		g.Eventually(func() []uint64 { return []uint64{home(remaining[0]), home(remaining[1]), home(remaining[2])} }, 10*time.Second, 20*time.Millisecond).
+			ShouldNot(ContainElement(stopped))
 	})
 }
 
-// home is the router that decides for the service, as m sees it.
+// home returns the home of the service in m's state, 0 if there is none.
 func home(m *member) uint64 {
 	for _, g := range m.node.Dump().Groups {
 		return g.Home
@@ -273,24 +272,24 @@
 	return 0
 }
 
-// A configuration would come into force late where the platform turns a router
-// away: it learns from its peers, and its view stays fresh.
+// Guards against a router that can't read the platform and applies configurations late. It must
+// receive them from its peers, and its view must stay fresh.
 func TestRouterWithoutThePlatformLearnsFromPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		good, bad := &source{revision: 1, version: 1}, &source{revision: 1, version: 1}
-		bad.change(func() { bad.away = true })
-		all := start(t, 3, good, bad, good)
-		good.publish()
+		available, failing := &source{revision: 1, version: 1}, &source{revision: 1, version: 1}
+		failing.change(func() { failing.unavailable = true })
+		all := start(t, 3, available, failing, available)
+		available.publish()
 		for _, m := range all {
 			g.Eventually(func() int64 { return m.feed.Snapshot().ConfigVersion() }, 10*time.Second, 10*time.Millisecond).Should(Equal(int64(2)))
 		}
-		g.Consistently(all[1].feed.Authorized, revoke+revoke/4, 50*time.Millisecond).Should(BeTrue())
+		g.Consistently(all[1].feed.Authorized, revokeTimeout+revokeTimeout/4, 50*time.Millisecond).Should(BeTrue())
 	})
 }
 
-// Calls to the platform must not grow with the fleet: one router of a failure
-// domain reads, the others ask it.
+// Guards against calls to the platform that grow with the fleet. One router of a failure domain
+// must read it, and the others receive the state from that one.
 func TestOneRouterOfADomainReadsThePlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -308,33 +307,34 @@
 		const span = 2 * time.Second
 		before := s.calls.Load()
 		time.Sleep(span)
-		// One watch at a time, whatever the number of routers; one more for rounding.
-		most := int64(span/feed.DefaultConfig(revoke, revoke).WatchWait) + 1
-		g.Expect(s.calls.Load() - before).To(BeNumerically("<=", most))
+		// One watch at a time for any number of routers, and one more for rounding.
+		maxCalls := int64(span/feed.DefaultConfig(revokeTimeout, revokeTimeout).WatchWait) + 1
+		g.Expect(s.calls.Load() - before).To(BeNumerically("<=", maxCalls))
 		for _, m := range all {
 			g.Expect(m.feed.Authorized()).To(BeTrue())
 		}
 	})
 }
 
-// A stopping router is no home any more; its peers hear it at once.
+// Guards against peers that keep a stopping router as a home. It must announce that it is
+// leaving at once.
 func TestLeavingRouterGivesUpItsDuties(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		all := start(t, 3, &source{revision: 1, version: 1})
-		_, _, err := ask(all[0], 5)
+		_, _, err := requestPlacement(all[0], 5)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Eventually(func() uint64 { return home(all[0]) }, 5*time.Second, 10*time.Millisecond).ShouldNot(BeZero())
-		leaver := home(all[0])
+		leaving := home(all[0])
 		for _, m := range all {
-			if m.node.Dump().Router == leaver {
+			if m.node.Dump().Router == leaving {
 				m.node.Leave()
 			}
 		}
 		g.Eventually(func() uint64 {
-			_, _, err := ask(all[0], 6)
+			_, _, err := requestPlacement(all[0], 6)
 			g.Expect(err).NotTo(HaveOccurred())
 			return home(all[0])
-		}, 10*time.Second, 20*time.Millisecond).ShouldNot(Equal(leaver))
+		}, 10*time.Second, 20*time.Millisecond).ShouldNot(Equal(leaving))
 	})
 }
--- a/fleet/fuzz_test.go
+++ b/fleet/fuzz_test.go
@@ -16,20 +16,20 @@
 	"github.com/aspenswitch/aspenswitch/routing"
 )
 
-// noSource is a platform that never answers.
-type noSource struct{}
+// blockedSource is a platform that never answers.
+type blockedSource struct{}
 
-func (noSource) List(ctx context.Context) (feed.Batch, error) {
+func (blockedSource) List(ctx context.Context) (feed.Batch, error) {
 	<-ctx.Done()
 	return feed.Batch{}, ctx.Err()
 }
 
-func (s noSource) Watch(ctx context.Context, _ int64, _ time.Duration) (feed.Batch, error) {
+func (s blockedSource) Watch(ctx context.Context, _ int64, _ time.Duration) (feed.Batch, error) {
 	return s.List(ctx)
 }
 
-// Whatever arrives, the control goroutine goes on: a panic there would end the
-// process and every request in it.
+// Guards against malformed datagrams that make the control goroutine panic, which would end the
+// process and all of its requests.
 func FuzzDatagrams(f *testing.F) {
 	for _, p := range []packet{
 		{From: 2, Heartbeat: &heartbeat{IP: "127.0.0.1", Domain: "d", Weight: 1, Peers: []string{"x"}}},
@@ -58,7 +58,7 @@
 	}
 	f.Cleanup(func() { _ = t.Close() })
 	n := New(cfg, t, boottime.Now, zerolog.Nop())
-	published := feed.New(feed.DefaultConfig(0, 0), noSource{}, boottime.Now, zerolog.Nop(), func() bool { return false }, func() {})
+	published := feed.New(feed.DefaultConfig(0, 0), blockedSource{}, boottime.Now, zerolog.Nop(), func() bool { return false }, func() {})
 	n.Attach(published)
 	published.Import(&feed.Export{Revision: 1, Config: &routing.Config{Version: 1, Services: []routing.Service{{Name: "llm"}}},
 		Upstreams: []registry.Upstream{{ID: "u", Service: "llm", Slots: 2, Revision: 1}}}, boottime.Now())
--- a/fleet/group_count_test.go
+++ b/fleet/group_count_test.go
@@ -6,10 +6,11 @@
 	. "github.com/onsi/gomega"
 )
 
-// groupSize is that of the tests.
+// groupSize is the maximum mean group size in these tests.
 const groupSize = 32
 
-// Guards against sessions that change homes while upstreams are replaced.
+// Guards against sessions that change homes repeatedly while upstreams are replaced, when old
+// and new ones are listed at the same time.
 func TestGroupsStayWhileUpstreamsAreReplaced(t *testing.T) {
 	g := NewWithT(t)
 	c := newGroupCounts(groupSize)
@@ -23,7 +24,7 @@
 	g.Expect(changes).To(BeNumerically("<=", 1))
 }
 
-// Guards against sessions that change homes while upstreams crash and come back.
+// Guards against sessions that change homes while upstreams crash and restart.
 func TestGroupsStayWhileAThirdIsLost(t *testing.T) {
 	g := NewWithT(t)
 	c := newGroupCounts(groupSize)
@@ -34,7 +35,7 @@
 	g.Expect(c.update("llm", 20)).To(Equal(1))
 }
 
-// Guards against a new router that divides upstreams otherwise than its peers.
+// Guards against a new router that divides the upstreams into fewer groups than its peers.
 func TestNewRouterTakesItsPeersGroups(t *testing.T) {
 	g := NewWithT(t)
 	c := newGroupCounts(groupSize)
@@ -48,7 +49,8 @@
 	g.Expect(c.update("llm", 48)).To(Equal(2))
 }
 
-// A number on the wire tells the group and the division; what is none tells nothing.
+// Guards against group numbers that decode to another group or number of groups, and invalid
+// ones that are accepted.
 func TestGroupNumbers(t *testing.T) {
 	g := NewWithT(t)
 	for _, count := range []int{1, 2, 4, 8} {
--- a/fleet/hubs_test.go
+++ b/fleet/hubs_test.go
@@ -12,15 +12,15 @@
 	"github.com/aspenswitch/aspenswitch/fleet"
 )
 
-// hubbed is a fleet of some times as many routers as there are hubs, in two failure
-// domains, with three strong ones in each.
-func hubbed(t *testing.T, s *source) *cluster {
-	const routers, domains, strongEach = 18, 2, 3
+// startHubFleet starts a fleet with several times as many routers as hubs, in two failure
+// domains with three strong VMs each.
+func startHubFleet(t *testing.T, s *source) *cluster {
+	const routers, domains, strongPerDomain = 18, 2, 3
 	c := newCluster(t)
-	c.shape = func(i int, cfg *fleet.Config) {
+	c.configure = func(i int, cfg *fleet.Config) {
 		cfg.Hubs, cfg.HubsPerDomain = 3, 1
 		cfg.Domain, cfg.Weight = fmt.Sprint("d", i%domains), 0.19
-		if i < domains*strongEach {
+		if i < domains*strongPerDomain {
 			cfg.Weight = 0.8
 		}
 	}
@@ -30,25 +30,25 @@
 	return c
 }
 
-// knowsAll waits until every router knows all others.
-func (c *cluster) knowsAll(g *WithT, within time.Duration) {
+// waitForMembers waits until every router has all others as members.
+func (c *cluster) waitForMembers(g *WithT, within time.Duration) {
 	for _, m := range c.all {
 		g.Eventually(func() int { return len(m.node.Dump().Members) }, within, 500*time.Millisecond).Should(Equal(len(c.all) - 1))
 	}
 }
 
-// Heartbeats of all to all would take a twentieth of a small VM's processor. A router
-// that is no hub sends less than half of what it would then, and still knows all others and
-// has a fresh view of the platform.
+// Guards against heartbeats between all routers, which would use a twentieth of a small VM's
+// processor. A router that isn't a hub must send less than half as many, but still have all
+// others as members and a fresh view of the platform.
 func TestHeartbeatsDoNotGrowWithTheSquareOfTheFleet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		c := hubbed(t, &source{revision: 1, version: 1})
-		c.knowsAll(g, 10*time.Second)
+		c := startHubFleet(t, &source{revision: 1, version: 1})
+		c.waitForMembers(g, 10*time.Second)
 		time.Sleep(2 * time.Second)
 		const span = 3
-		// What heartbeats of all to all would be a second.
-		all := len(c.all) * int(time.Second/fleet.DefaultConfig().HeartbeatInterval)
+		// Heartbeats per second and router if all exchanged frequent ones.
+		fullMesh := len(c.all) * int(time.Second/fleet.DefaultConfig().HeartbeatInterval)
 		before := map[*member]int{}
 		for _, m := range c.all {
 			before[m], _ = c.net.traffic(m.addr)
@@ -62,7 +62,7 @@
 				hubs++
 				continue
 			}
-			g.Expect((sent-before[m])/span).To(BeNumerically("<", all/2), "datagrams a second")
+			g.Expect((sent-before[m])/span).To(BeNumerically("<", fullMesh/2), "datagrams a second")
 			g.Expect(d.Members).To(HaveLen(len(c.all) - 1))
 			g.Expect(m.feed.Authorized()).To(BeTrue())
 		}
@@ -71,41 +71,41 @@
 	})
 }
 
-// Every hub loses power at once. Requests are decided within the time after which a
-// home counts as silent, twice, and some seconds later the routers that are left
-// agree on new homes (4 s for 89 routers).
+// Guards against requests that wait when all hubs lose power at once. They must be decided
+// within twice the placement timeout, and the remaining routers must agree on new homes some
+// seconds later (4 s with 89 routers).
 func TestHubsAreReplacedWhenAllAreLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		c := hubbed(t, &source{revision: 1, version: 1})
-		c.knowsAll(g, 10*time.Second)
+		c := startHubFleet(t, &source{revision: 1, version: 1})
+		c.waitForMembers(g, 10*time.Second)
 		time.Sleep(time.Second)
-		var left []*member
+		var remaining []*member
 		for _, m := range c.all {
 			if m.node.Dump().Hub {
 				m.stop()
 				<-m.done
 				continue
 			}
-			left = append(left, m)
+			remaining = append(remaining, m)
 		}
 		began := time.Now()
-		d, ticket, err := ask(left[0], 1)
+		d, ticket, err := requestPlacement(remaining[0], 1)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(d.Verdict).To(Equal(dispatch.Send))
 		g.Expect(time.Since(began)).To(BeNumerically("<", 300*time.Millisecond))
-		left[0].node.Done("llm", ticket, dispatch.Served, time.Second)
+		remaining[0].node.Done("llm", ticket, dispatch.Served, time.Second)
 
 		g.Eventually(func() int {
 			homes := map[uint64]int{}
-			for i, m := range left {
-				_, ticket, err := ask(m, uint64(i))
+			for i, m := range remaining {
+				_, ticket, err := requestPlacement(m, uint64(i))
 				g.Expect(err).NotTo(HaveOccurred())
 				m.node.Done("llm", ticket, dispatch.Served, time.Second)
 				homes[home(m)]++
 			}
 			return len(homes)
 		}, 20*time.Second, 500*time.Millisecond).Should(Equal(1))
-		t.Logf("one home again after %v", time.Since(began))
+		t.Logf("routers agreed on one home after %v", time.Since(began))
 	})
 }
--- a/fleet/leaving_test.go
+++ b/fleet/leaving_test.go
@@ -20,7 +20,7 @@
 			m.node.ReportLeaving("llm", dispatch.Incarnation{ID: leaving})
 			time.Sleep(propagationTime)
 			for i := range 20 {
-				next, ticket, err := ask(all[i%len(all)], 5)
+				next, ticket, err := requestPlacement(all[i%len(all)], 5)
 				g.Expect(err).NotTo(HaveOccurred())
 				g.Expect(next.Verdict).To(Equal(dispatch.Send))
 				g.Expect(next.Upstream).NotTo(Equal(leaving))
@@ -33,7 +33,7 @@
 
 // nextUpstream returns the upstream chosen for the next request of session 5.
 func nextUpstream(g Gomega, all []*member) string {
-	d, ticket, err := ask(all[0], 5)
+	d, ticket, err := requestPlacement(all[0], 5)
 	g.Expect(err).NotTo(HaveOccurred())
 	all[0].node.Done("llm", ticket, dispatch.Served, time.Second)
 	return d.Upstream
--- a/fleet/memnet_test.go
+++ b/fleet/memnet_test.go
@@ -10,55 +10,55 @@
 	"time"
 )
 
-// network is an in-memory transport between routers, in virtual time. Datagrams
-// take a random while, and some are lost; cut links carry nothing.
+// network is an in-memory transport between routers, in virtual time. Datagrams have
+// random delays, and some are lost; cut links drop everything.
 type network struct {
-	mu    sync.Mutex
-	rnd   *rand.Rand
-	ends  map[netip.AddrPort]*endpoint
-	delay time.Duration
-	loss  float64
-	// cut reports whether nothing goes from one address to another.
+	mu        sync.Mutex
+	rnd       *rand.Rand
+	endpoints map[netip.AddrPort]*endpoint
+	delay     time.Duration
+	loss      float64
+	// cut reports whether the link from one address to another is cut.
 	cut func(from, to netip.AddrPort) bool
-	// late is how long a router takes to read what has come.
-	late map[netip.AddrPort]time.Duration
-	// sent counts datagrams, bytes their sizes, by sender.
+	// readDelay is how long a router takes to read a datagram that has arrived.
+	readDelay map[netip.AddrPort]time.Duration
+	// sent and bytes are the numbers of datagrams and of bytes sent, by sender.
 	sent, bytes map[netip.AddrPort]int
 }
 
 func newNetwork(seed uint64) *network {
 	return &network{
-		rnd: rand.New(rand.NewPCG(seed, 1)), ends: map[netip.AddrPort]*endpoint{}, delay: 500 * time.Microsecond,
-		cut:  func(netip.AddrPort, netip.AddrPort) bool { return false },
-		late: map[netip.AddrPort]time.Duration{},
-		sent: map[netip.AddrPort]int{}, bytes: map[netip.AddrPort]int{},
+		rnd: rand.New(rand.NewPCG(seed, 1)), endpoints: map[netip.AddrPort]*endpoint{}, delay: 500 * time.Microsecond,
+		cut:       func(netip.AddrPort, netip.AddrPort) bool { return false },
+		readDelay: map[netip.AddrPort]time.Duration{},
+		sent:      map[netip.AddrPort]int{}, bytes: map[netip.AddrPort]int{},
 	}
 }
 
-// setCut changes which links carry nothing.
-func (w *network) setCut(cut func(from, to netip.AddrPort) bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.cut = cut
+// setCut replaces the function that selects the links that are cut.
+func (n *network) setCut(cut func(from, to netip.AddrPort) bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.cut = cut
 }
 
-// isolate cuts one address off from all others.
-func (w *network) isolate(at netip.AddrPort) {
-	w.setCut(func(from, to netip.AddrPort) bool { return from == at || to == at })
+// isolate cuts all links of an address.
+func (n *network) isolate(at netip.AddrPort) {
+	n.setCut(func(from, to netip.AddrPort) bool { return from == at || to == at })
 }
 
-// readLate makes a router read late what comes in.
-func (w *network) readLate(at netip.AddrPort, by time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.late[at] = by
+// setReadDelay sets the delay with which a router reads datagrams.
+func (n *network) setReadDelay(at netip.AddrPort, delay time.Duration) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.readDelay[at] = delay
 }
 
 // traffic returns the datagrams and bytes that an address has sent.
-func (w *network) traffic(at netip.AddrPort) (datagrams, bytes int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.sent[at], w.bytes[at]
+func (n *network) traffic(at netip.AddrPort) (datagrams, bytes int) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.sent[at], n.bytes[at]
 }
 
 // endpoint is one router's transport.
@@ -67,7 +67,7 @@
 	at     netip.AddrPort
 	in     chan message
 	dialed chan net.Conn
-	over   chan struct{}
+	closed chan struct{}
 	once   sync.Once
 }
 
@@ -76,28 +76,29 @@
 	raw  []byte
 }
 
-// received holds what a router hasn't read; more is lost, as in a socket.
-const receiveQueue = 2048
+// receiveQueueSize limits the datagrams that a router hasn't read. Further ones are lost,
+// as in a socket.
+const receiveQueueSize = 2048
 
-// listen opens an endpoint. An earlier one at the address has ended.
-func (w *network) listen(at netip.AddrPort) *endpoint {
-	e := &endpoint{net: w, at: at, in: make(chan message, receiveQueue), dialed: make(chan net.Conn), over: make(chan struct{})}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.ends[at] = e
+// listen opens an endpoint. It replaces an earlier one at the same address.
+func (n *network) listen(at netip.AddrPort) *endpoint {
+	e := &endpoint{net: n, at: at, in: make(chan message, receiveQueueSize), dialed: make(chan net.Conn), closed: make(chan struct{})}
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.endpoints[at] = e
 	return e
 }
 
-// route returns where a message goes and how long it takes; nil if it is lost. No cut
-// keeps a router from itself.
-func (w *network) route(from, to netip.AddrPort) (*endpoint, time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	e := w.ends[to]
-	if e == nil || from != to && w.cut(from, to) || w.rnd.Float64() < w.loss {
+// route returns the destination of a datagram and its delay, nil if it is lost. A router can
+// always send to itself.
+func (n *network) route(from, to netip.AddrPort) (*endpoint, time.Duration) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	e := n.endpoints[to]
+	if e == nil || from != to && n.cut(from, to) || n.rnd.Float64() < n.loss {
 		return nil, 0
 	}
-	return e, time.Duration(w.rnd.Int64N(int64(w.delay))) + w.delay/2 + w.late[to]
+	return e, time.Duration(n.rnd.Int64N(int64(n.delay))) + n.delay/2 + n.readDelay[to]
 }
 
 // Send implements fleet.Transport.
@@ -124,12 +125,12 @@
 	select {
 	case m := <-e.in:
 		return copy(into, m.raw), m.from, nil
-	case <-e.over:
+	case <-e.closed:
 		return 0, netip.AddrPort{}, net.ErrClosed
 	}
 }
 
-// Dial implements fleet.Transport. Over a cut link it waits until ctx ends.
+// Dial implements fleet.Transport. On a cut link it blocks until ctx is done.
 func (e *endpoint) Dial(ctx context.Context, to netip.AddrPort) (net.Conn, error) {
 	peer, _ := e.net.route(e.at, to)
 	if peer == nil {
@@ -140,7 +141,7 @@
 	select {
 	case peer.dialed <- far:
 		return near, nil
-	case <-peer.over:
+	case <-peer.closed:
 		return nil, errors.New("connection refused")
 	case <-ctx.Done():
 		return nil, ctx.Err()
@@ -152,13 +153,13 @@
 	select {
 	case c := <-e.dialed:
 		return c, nil
-	case <-e.over:
+	case <-e.closed:
 		return nil, net.ErrClosed
 	}
 }
 
 // Close implements fleet.Transport.
 func (e *endpoint) Close() error {
-	e.once.Do(func() { close(e.over) })
+	e.once.Do(func() { close(e.closed) })
 	return nil
 }
--- a/fleet/message.go
+++ b/fleet/message.go
@@ -151,7 +151,7 @@
 	ResponseStarted bool
 }
 
-// shedReport tells a home of a team's requests that a router has refused without asking
+// shedReport reports to a home the requests of a team that a router has refused without asking
 // it, so that the home recognizes their callers when they retry.
 type shedReport struct {
 	_        struct{} `cbor:",toarray"`
--- a/fleet/quarantine_test.go
+++ b/fleet/quarantine_test.go
@@ -180,7 +180,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		c := newCluster(t)
-		c.shape = func(i int, cfg *fleet.Config) { cfg.Domain = fmt.Sprint("d", i%4) }
+		c.configure = func(i int, cfg *fleet.Config) { cfg.Domain = fmt.Sprint("d", i%4) }
 		const routers, contents = 16, 20
 		c.start(routers, &source{revision: 1, version: 1})
 		time.Sleep(10 * time.Second)
--- a/fleet/size_test.go
+++ b/fleet/size_test.go
@@ -11,8 +11,8 @@
 	"github.com/aspenswitch/aspenswitch/quarantine"
 )
 
-// The bounds of what a router's control costs in bytes: docs/CAPACITY.md reckons
-// with these sizes. A field that is added shows here.
+// Guards against messages that grow: the control traffic in docs/CAPACITY.md is calculated from
+// these sizes. An added field shows here.
 func TestMessagesKeepTheirSizes(t *testing.T) {
 	id := "9c41d07be2a35f68"
 	cases := map[string]struct {
--- a/fleet/sockets_test.go
+++ b/fleet/sockets_test.go
@@ -10,8 +10,8 @@
 	"github.com/aspenswitch/aspenswitch/fleet"
 )
 
-// Datagrams and streams reach a router at one address, and its end ends the
-// waits for both.
+// Guards against datagrams or streams that don't arrive, and against Receive and Accept calls
+// that block after Close.
 func TestSocketsCarryDatagramsAndStreams(t *testing.T) {
 	g := NewWithT(t)
 	one, err := fleet.Listen("127.0.0.1", 0)
