--- a/fleet/export_test.go
+++ b/fleet/export_test.go
@@ -11,7 +11,7 @@
 )
 
 // BlockControl blocks the control goroutine for a duration, as on a VM whose processor is
-// used by other work.
+// used by other work. Call it from a separate goroutine.
 func (n *Node) BlockControl(d time.Duration) {
 	n.post(callEvent{do: func(boottime.Time) { time.Sleep(d) }})
 }
--- a/fleet/outage_test.go
+++ b/fleet/outage_test.go
@@ -20,7 +20,7 @@
 	// only because its view has become old.
 	maxFollowerCalls = 2
 	// maxReaderCalls limits the calls of the two readers: one per 0.8 s each, and their first
-	// retries, which are faster.
+	// ones, which follow each other faster.
 	maxReaderCalls = 2 * 12
 )
 
