--- a/limits/adaptive_test.go
+++ b/limits/adaptive_test.go
@@ -8,8 +8,8 @@
 	"github.com/aspenswitch/aspenswitch/limits"
 )
 
-// An engine begins to queue by itself, where order is not ours. The limit falls to
-// what it admits, and comes back one by one when the queue is gone.
+// Guards against requests in the engine's own queue, which the scheduler can't order. The limit
+// must drop to what the engine admits, and grow by one per report once the queue is empty.
 func TestLimitFollowsTheEnginesQueue(t *testing.T) {
 	g := NewWithT(t)
 	a := limits.NewAdaptiveLimit(10)
@@ -25,9 +25,9 @@
 	g.Expect(a.Limit()).To(Equal(10))
 }
 
-// One side of a cut fleet sees three of seven VMs. It keeps to its share while the
-// other side uses the upstream, and takes all that the other leaves.
-func TestShareOfACutFleet(t *testing.T) {
+// Guards against one side of a network partition using too many or too few slots. It sees three
+// of seven VMs, and may exceed its share only by the slots that the other side leaves free.
+func TestShareOfAPartitionedFleet(t *testing.T) {
 	g := NewWithT(t)
 	a := limits.NewAdaptiveLimit(7)
 	g.Expect(a.PartitionShare(3, 7, 7)).To(Equal(3))
--- a/limits/allowances.go
+++ b/limits/allowances.go
@@ -5,95 +5,96 @@
 	"time"
 )
 
-// ShareKey names the requests that one home decides on by one share.
+// ShareKey identifies the requests that count against one team's share at one home, the router
+// that admits requests to a group of upstreams.
 type ShareKey struct {
 	Service string
-	// Group is the part of the service's upstreams that the home decides for.
+	// Group is the group of the service's upstreams that the home is responsible for.
 	Group int
 	Team  string
 }
 
-// Allowances keep a router from asking homes for what they would refuse: for each team
-// at each home a token bucket, which is filled at the rate that the home told. The zero
-// value allows everything. It isn't safe for concurrent use.
+// Allowances avoids admission requests that homes would refuse. It has a token bucket for each
+// team at each home, refilled at the rate that the home last returned. The zero value imposes
+// no limits. It isn't safe for concurrent use.
 type Allowances struct {
 	buckets map[ShareKey]*bucket
 }
 
-// bucket is what may be asked for.
+// bucket is the token bucket of one ShareKey.
 type bucket struct {
-	// rate is in tokens a second; left is what is left at a moment. It falls below zero
-	// with a request that is larger than what is left, and rises before the next.
-	rate, left float64
-	at         time.Duration
-	// toldAt is when the home last told the rate, after when its last refusal told
-	// callers to come back.
-	toldAt, after time.Duration
-	// renewedAt is when a request was last let through to hear the home's word anew.
-	renewedAt time.Duration
+	// rate is in tokens per second. available is the number of tokens at updatedAt. A request
+	// may take more than are available; the debt is then refilled before the next one.
+	rate, available float64
+	updatedAt       time.Duration
+	// rateSetAt is when the home last returned a rate. retryAfter is the Retry-After delay of
+	// its last refusal.
+	rateSetAt, retryAfter time.Duration
+	// refreshedAt is when a request was last allowed only to obtain a new rate from the home.
+	refreshedAt time.Duration
 }
 
 const (
-	// bucketSpan is the time for which a bucket holds its rate: shares are reckoned over
-	// seconds, and a team that asks for little more than its share may do so in bursts.
-	bucketSpan = time.Second
-	// firstSpan is the time for which a new bucket holds its rate: the team has just
-	// asked for more than its share.
-	firstSpan = 200 * time.Millisecond
-	// mostBuckets bounds the memory, at some 100 bytes each. Above it all are forgotten;
-	// homes tell them again with the next answers.
-	mostBuckets = 8192
-	// wordHolds is how long a home's word is taken for its present one: as long as a home
-	// takes to hear of what other homes gave.
-	wordHolds = 500 * time.Millisecond
-	// behindPart is the part of its allowance that a router asks for while it is behind
-	// with its work: homes allow twice what a team gets, to see whether it may get more.
-	behindPart = 0.5
+	// burstDuration times the rate is the capacity of a bucket. Shares are computed over
+	// seconds, and a team that requests little more than its share may do so in bursts.
+	burstDuration = time.Second
+	// initialBurstDuration times the rate is the initial content of a bucket. It is smaller
+	// because the team has just requested more than its share.
+	initialBurstDuration = 200 * time.Millisecond
+	// maxBuckets limits memory use, at about 100 bytes per bucket. All buckets are dropped when
+	// a new one would exceed it; the next responses of the homes restore them.
+	maxBuckets = 8192
+	// rateTTL is how long a rate counts as current: the time until a home receives what other
+	// homes have served.
+	rateTTL = 500 * time.Millisecond
+	// laggingFraction is the fraction of its allowance that a lagging router uses. Homes allow
+	// twice the rate that a team is served at, to detect whether it may be served more.
+	laggingFraction = 0.5
 )
 
-// Take reports whether a request of so many tokens may be asked for. If not, it tells
-// when its caller may come back, and how old the home's word is.
-func (a *Allowances) Take(now time.Duration, key ShareKey, tokens float64, behind bool) (ok bool, after, age time.Duration) {
+// Take reports whether a request with the given number of tokens may be sent to its home for
+// admission. If not, it returns the delay after which the caller may retry, and the age of the
+// home's rate.
+func (a *Allowances) Take(now time.Duration, key ShareKey, tokens float64, lagging bool) (ok bool, retryAfter, age time.Duration) {
 	b := a.buckets[key]
 	if b == nil {
 		return true, 0, 0
 	}
-	b.fill(now)
-	if b.left <= 0 && b.renew(now) {
+	b.refill(now)
+	if b.available <= 0 && b.tryRefresh(now) {
 		return true, 0, 0
 	}
-	if b.left <= 0 {
-		return false, b.after, now - b.toldAt
+	if b.available <= 0 {
+		return false, b.retryAfter, now - b.rateSetAt
 	}
-	if behind {
-		tokens /= behindPart
+	if lagging {
+		tokens /= laggingFraction
 	}
-	b.left -= tokens
+	b.available -= tokens
 	return true, 0, 0
 }
 
-// renew reports whether a home's word is so old that a request must be asked for to hear
-// a new one: an allowance that lets nothing through would else hold for as long as it takes
-// to fill the bucket, whatever the team's share is by then.
-func (b *bucket) renew(now time.Duration) bool {
-	if now-max(b.toldAt, b.renewedAt) < wordHolds {
+// tryRefresh reports whether the rate has expired, so that a request is allowed to obtain a new
+// one, and records that request. Otherwise a very low rate would apply until the bucket is
+// refilled, whatever the team's share is by then.
+func (b *bucket) tryRefresh(now time.Duration) bool {
+	if now-max(b.rateSetAt, b.refreshedAt) < rateTTL {
 		return false
 	}
-	b.renewedAt = now
+	b.refreshedAt = now
 	return true
 }
 
-func (b *bucket) fill(now time.Duration) {
-	if now > b.at {
-		b.left = min(b.left+b.rate*(now-b.at).Seconds(), b.rate*bucketSpan.Seconds())
-		b.at = now
+func (b *bucket) refill(now time.Duration) {
+	if now > b.updatedAt {
+		b.available = min(b.available+b.rate*(now-b.updatedAt).Seconds(), b.rate*burstDuration.Seconds())
+		b.updatedAt = now
 	}
 }
 
-// UpdateRate takes in what a home allows, in tokens a second: 0 if it told nothing, infinity
-// if there is no bound. after, if above 0, is when it told the caller of a refused
-// request to come back.
-func (a *Allowances) UpdateRate(now time.Duration, key ShareKey, rate float64, after time.Duration) {
+// UpdateRate records the rate that a home allows, in tokens per second: 0 if it returned none,
+// infinity if there is no limit. retryAfter is the Retry-After delay of a refused request, or 0.
+func (a *Allowances) UpdateRate(now time.Duration, key ShareKey, rate float64, retryAfter time.Duration) {
 	if rate == 0 {
 		return
 	}
@@ -103,19 +104,19 @@
 	}
 	b := a.buckets[key]
 	if b == nil {
-		if a.buckets == nil || len(a.buckets) >= mostBuckets {
+		if a.buckets == nil || len(a.buckets) >= maxBuckets {
 			a.buckets = map[ShareKey]*bucket{}
 		}
-		b = &bucket{at: now, left: rate * firstSpan.Seconds()}
+		b = &bucket{updatedAt: now, available: rate * initialBurstDuration.Seconds()}
 		a.buckets[key] = b
 	}
-	b.fill(now)
-	b.rate, b.toldAt = rate, now
-	b.left = min(b.left, rate*bucketSpan.Seconds())
-	if after > 0 {
-		b.after = after
+	b.refill(now)
+	b.rate, b.rateSetAt = rate, now
+	b.available = min(b.available, rate*burstDuration.Seconds())
+	if retryAfter > 0 {
+		b.retryAfter = retryAfter
 	}
 }
 
-// Limited reports whether a home has told a bound.
+// Limited reports whether a home has returned a finite rate for the key.
 func (a *Allowances) Limited(key ShareKey) bool { return a.buckets[key] != nil }
--- a/limits/arrivals.go
+++ b/limits/arrivals.go
@@ -5,49 +5,49 @@
 	"time"
 )
 
-// arrivals counts teams' requests at a router, with a decay.
+// arrivals holds exponentially decaying counts of the requests at a router, by team and in total.
 type arrivals struct {
-	teams map[string]*decaying
-	all   decaying
+	teams map[string]*decayingCounter
+	total decayingCounter
 }
 
 const (
-	// arrivalWindow is the span over which arrivals are remembered: some hundred
-	// requests of a team that holds a router up.
-	arrivalWindow = 300 * time.Millisecond
-	// mostTeams bounds the memory, at some 60 bytes a team.
-	mostTeams = 4096
-	// heavyPart is the part of a router's requests that makes a team heavy. A router of
-	// a fleet serves dozens of teams; one that asks for a third of all is what holds the
-	// others up.
-	heavyPart = 1.0 / 3
+	// arrivalDecayTime is the time constant of the decay. It covers a few hundred requests of
+	// a team that overloads a router.
+	arrivalDecayTime = 300 * time.Millisecond
+	// maxTeams limits memory use, at about 60 bytes per team. The counts of all teams are
+	// dropped when a new team would exceed it.
+	maxTeams = 4096
+	// heavyFraction is the fraction of a router's requests that makes a team heavy. A router
+	// serves dozens of teams; one that sends a third of all requests is what delays the others.
+	heavyFraction = 1.0 / 3
 )
 
-// add notes a team's request and reports whether the team is heavy.
+// add counts a request of a team and reports whether the team is heavy.
 func (a *arrivals) add(now time.Duration, team string) (heavy bool) {
-	d := a.teams[team]
-	if d == nil {
-		if a.teams == nil || len(a.teams) >= mostTeams {
-			a.teams = map[string]*decaying{}
+	counter := a.teams[team]
+	if counter == nil {
+		if a.teams == nil || len(a.teams) >= maxTeams {
+			a.teams = map[string]*decayingCounter{}
 		}
-		d = &decaying{}
-		a.teams[team] = d
+		counter = &decayingCounter{}
+		a.teams[team] = counter
 	}
-	d.add(now)
-	a.all.add(now)
-	return d.n >= heavyPart*a.all.n
+	counter.add(now)
+	a.total.add(now)
+	return counter.value >= heavyFraction*a.total.value
 }
 
-// decaying is a count that loses its weight over arrivalWindow.
-type decaying struct {
-	n  float64
-	at time.Duration
+// decayingCounter is a count that decays exponentially with the time constant arrivalDecayTime.
+type decayingCounter struct {
+	value     float64
+	updatedAt time.Duration
 }
 
-func (d *decaying) add(now time.Duration) {
-	if now > d.at {
-		d.n *= math.Exp(-float64(now-d.at) / float64(arrivalWindow))
-		d.at = now
+func (d *decayingCounter) add(now time.Duration) {
+	if now > d.updatedAt {
+		d.value *= math.Exp(-float64(now-d.updatedAt) / float64(arrivalDecayTime))
+		d.updatedAt = now
 	}
-	d.n++
+	d.value++
 }
--- a/limits/late_test.go
+++ b/limits/late_test.go
@@ -9,80 +9,79 @@
 	"github.com/aspenswitch/aspenswitch/limits"
 )
 
-// answer is a home's, on its way to a router.
-type answer struct {
-	at   time.Duration
-	sent bool
+// response is a home's response that arrives at the router at a given time.
+type response struct {
+	at       time.Duration
+	admitted bool
 }
 
-// lateHome answers a router's questions after a while, and lets a team have its share.
-type lateHome struct {
+// slowHome responds to a router's admission requests after a delay, and admits a team at the rate
+// of its share.
+type slowHome struct {
 	perSecond float64
-	// burst is what the team may have at once: the home looks at what it got within the
-	// last second, and lets it in at 0.8 to 1.2 of its share.
+	// burst is the most requests that are admitted at once: homes count what a team was served
+	// within the last second, and admit it at 0.8 to 1.2 times its share.
 	burst float64
-	// credit is what the team may have at once, as of at.
-	credit float64
-	at     time.Duration
-	onWay  []answer
+	// credit is the number of requests that could be admitted at the time at.
+	credit   float64
+	at       time.Duration
+	inFlight []response
 }
 
-func (h *lateHome) ask(now, delay time.Duration) {
+func (h *slowHome) request(now, delay time.Duration) {
 	h.credit = min(h.credit+h.perSecond*(now-h.at).Seconds(), h.burst)
 	h.at = now
-	sent := h.credit >= 1
-	if sent {
+	admitted := h.credit >= 1
+	if admitted {
 		h.credit--
 	}
-	h.onWay = append(h.onWay, answer{at: now + delay, sent: sent})
+	h.inFlight = append(h.inFlight, response{at: now + delay, admitted: admitted})
 }
 
-// come hands over the answers that have come, in order.
-func (h *lateHome) come(now time.Duration, take func(sent bool)) {
-	for len(h.onWay) > 0 && h.onWay[0].at <= now {
-		take(h.onWay[0].sent)
-		h.onWay = h.onWay[1:]
+// deliver passes the responses that have arrived to handle, in order.
+func (h *slowHome) deliver(now time.Duration, handle func(admitted bool)) {
+	for len(h.inFlight) > 0 && h.inFlight[0].at <= now {
+		handle(h.inFlight[0].admitted)
+		h.inFlight = h.inFlight[1:]
 	}
 }
 
-// All callers of a team meet one router, which is at the end of its processor: for a
-// tenth of a second it doesn't read what homes answer. Callers of that team are then all
-// refused for a second and more, though its share would let a hundred in.
-// Some hundred questions were on their way before the first refusal was noted, and the
-// throttle weighs all of these refusals against what it let through before (a router
-// under 3,700 requests a second asked nothing for 1.07 s; lines team and share).
+// Guards against refusing a whole team for over 1 s while its share admits 100 requests per second.
+// A router with a saturated CPU reads no responses of homes for 0.1 s. Hundreds of requests were then
+// in flight before the first recorded refusal; a throttle that weighs all these refusals against
+// earlier admissions sent nothing for 1.07 s (3,700 requests/s; log lines "team" and "share").
 func TestLateAnswersDoNotKeepATeamFromItsShare(t *testing.T) {
 	g := NewWithT(t)
 	const (
-		share     = 100
-		perSecond = 3000
-		gap       = time.Second / perSecond
-		lateFrom  = 3 * time.Second
-		late      = 120 * time.Millisecond
-		length    = 8 * time.Second
+		sharePerSecond    = 100
+		requestsPerSecond = 3000
+		interval          = time.Second / requestsPerSecond
+		stallStart        = 3 * time.Second
+		stallDuration     = 120 * time.Millisecond
+		duration          = 8 * time.Second
 	)
 	s := limits.NewShedder(limits.DefaultShedConfig())
-	h := &lateHome{perSecond: share, burst: 0.4 * share}
-	sent := make([]int, int(length/time.Second)+1)
-	for now := time.Duration(0); now < length; now += gap {
-		h.come(now, func(ok bool) {
-			after := 100 * time.Millisecond
+	h := &slowHome{perSecond: sharePerSecond, burst: 0.4 * sharePerSecond}
+	admitted := make([]int, int(duration/time.Second)+1)
+	for now := time.Duration(0); now < duration; now += interval {
+		h.deliver(now, func(ok bool) {
+			retryAfter := 100 * time.Millisecond
 			if ok {
-				sent[now/time.Second]++
-				after = 0
+				admitted[now/time.Second]++
+				retryAfter = 0
 			}
-			s.UpdateRate(now, arrival("flood").Share, askMore*share, after)
+			s.UpdateRate(now, newArrival("flood").Share, allowanceFactor*sharePerSecond, retryAfter)
 		})
-		if s.Check(now, arrival("flood")).Reason != limits.NotShed {
+		if s.Check(now, newArrival("flood")).Reason != limits.NotShed {
 			continue
 		}
 		delay := time.Millisecond
-		if now >= lateFrom && now < lateFrom+late {
-			delay = lateFrom + late - now
+		if now >= stallStart && now < stallStart+stallDuration {
+			delay = stallStart + stallDuration - now
 		}
-		h.ask(now, delay)
+		h.request(now, delay)
 	}
-	for second := 1; second < len(sent)-1; second++ {
-		g.Expect(sent[second]).To(BeNumerically(">=", share/2), "second %d of %v", second, sent)
+	for second := 1; second < len(admitted)-1; second++ {
+		g.Expect(admitted[second]).To(BeNumerically(">=", sharePerSecond/2), "second %d of %v", second, admitted)
 	}
 }
--- a/limits/shedder.go
+++ b/limits/shedder.go
@@ -2,93 +2,93 @@
 
 import "time"
 
-// ShedConfig tunes a Shedder.
+// ShedConfig configures a Shedder.
 type ShedConfig struct {
-	// LagThreshold is how far the router may be behind before it asks for no more of a team than
-	// its share, and for a part of what a team without a share asks that holds it up. Above
-	// MaxStreamLag it refuses all streams.
+	// A router whose lag reaches LagThreshold requests no more than its share for a team with
+	// an allowance, and sheds part of the streaming requests of a heavy team without one. Above
+	// MaxStreamLag it sheds all streaming requests.
 	LagThreshold, MaxStreamLag time.Duration
 }
 
-// DefaultShedConfig fits a flood that a small VM can't keep up with.
+// DefaultShedConfig returns a configuration for floods that a small VM can't keep up with.
 func DefaultShedConfig() ShedConfig {
 	return ShedConfig{LagThreshold: 25 * time.Millisecond, MaxStreamLag: 250 * time.Millisecond}
 }
 
-// ShedReason is what a router decides on a request before it asks a home.
+// ShedReason is why a router refuses a request without requesting admission from its home.
 type ShedReason uint8
 
 const (
-	// NotShed: a home decides.
+	// NotShed means that the request isn't refused; its home decides on admission.
 	NotShed ShedReason = iota
-	// OverShare: refused, as the team has had its share.
+	// OverShare means that the team has used its share.
 	OverShare
-	// Busy: refused, as the router is behind with its work.
+	// Busy means that the router is lagging.
 	Busy
 )
 
-// Shedder decides what a router can't or needn't ask a home for.
+// Shedder decides which requests a router refuses without requesting admission from a home.
 //
-// Callers of one team often share a few routers. When such a team floods, its
-// routers' processors are the first to give out; then every request there waits,
-// heartbeats are lost, and the router's view grows stale. Refusing the flood at
-// once keeps the rest served.
+// Callers of one team often share a few routers. When such a team floods, the CPUs of those
+// routers saturate first: every request there waits, heartbeats are lost and the router's view
+// becomes stale. Refusing the excess immediately keeps the other requests served.
 //
 // It isn't safe for concurrent use.
 type Shedder struct {
 	cfg        ShedConfig
 	arrivals   arrivals
 	allowances Allowances
-	// credit is what of a request of a heavy team may be asked for.
+	// credit accumulates the fraction of heavy teams' requests that may pass while the router
+	// is lagging. Each request that passes uses 1.
 	credit float64
 }
 
-// NewShedder returns a shedder that has been told nothing.
+// NewShedder returns a shedder without allowances.
 func NewShedder(cfg ShedConfig) *Shedder { return &Shedder{cfg: cfg} }
 
-// Arrival is a request that has come.
+// Arrival is a request that a router has received.
 type Arrival struct {
 	Share ShareKey
-	// Tokens is what it counts in its team's share.
+	// Tokens is the number of tokens that the request counts against its team's share.
 	Tokens float64
 	// Streaming is set for requests that engines answer.
 	Streaming bool
-	// Lag is how far the router is behind.
+	// Lag is how long work currently waits at the router before it is processed.
 	Lag time.Duration
 }
 
-// Verdict is a decision on an arrival.
+// Verdict is the decision on an arrival.
 type Verdict struct {
 	Reason ShedReason
-	// RetryAfter is when the caller may come back, AllowanceAge how old the home's word is that
-	// decided.
+	// RetryAfter is the delay after which the caller may retry. AllowanceAge is the age of the
+	// home's rate that the decision is based on. Both are set for OverShare only.
 	RetryAfter, AllowanceAge time.Duration
 }
 
-// Check decides on a team's request.
+// Check counts a team's request and decides whether it is shed.
 func (s *Shedder) Check(now time.Duration, a Arrival) Verdict {
 	heavy := s.arrivals.add(now, a.Share.Team)
-	behind := a.Lag >= s.cfg.LagThreshold
-	bounded := s.allowances.Limited(a.Share)
+	lagging := a.Lag >= s.cfg.LagThreshold
+	limited := s.allowances.Limited(a.Share)
 	switch {
 	case a.Streaming && a.Lag > s.cfg.MaxStreamLag:
 		return Verdict{Reason: Busy}
-	case behind && heavy && !bounded && a.Streaming && !s.pass(a.Lag):
+	case lagging && heavy && !limited && a.Streaming && !s.allowHeavy(a.Lag):
 		return Verdict{Reason: Busy}
 	}
-	if ok, after, age := s.allowances.Take(now, a.Share, a.Tokens, behind); !ok {
-		return Verdict{Reason: OverShare, RetryAfter: after, AllowanceAge: age}
+	if ok, retryAfter, age := s.allowances.Take(now, a.Share, a.Tokens, lagging); !ok {
+		return Verdict{Reason: OverShare, RetryAfter: retryAfter, AllowanceAge: age}
 	}
 	return Verdict{}
 }
 
-// pass reports whether a request of a heavy team is asked for though the router is behind.
-// A part of them is, a quarter at first and less the later the router is: its lag settles
-// where it keeps up with the rest. A team of which all were refused would get nothing for
-// as long as anything holds the router up.
-func (s *Shedder) pass(lag time.Duration) bool {
-	part := float64(s.cfg.LagThreshold) / float64(2*lag)
-	s.credit += part * part
+// allowHeavy reports whether a lagging router requests admission for a request of a heavy team.
+// It does so for a quarter of them at LagThreshold, and for fewer as the lag grows, so that the
+// lag settles where the router keeps up with the rest. If it shed all of them, the team would be
+// served nothing for as long as anything delays the router.
+func (s *Shedder) allowHeavy(lag time.Duration) bool {
+	fraction := float64(s.cfg.LagThreshold) / float64(2*lag)
+	s.credit += fraction * fraction
 	if s.credit < 1 {
 		return false
 	}
@@ -96,8 +96,8 @@
 	return true
 }
 
-// UpdateRate takes in what a home allows a team, in tokens a second; after, if above 0, is
-// when it told the caller of a refused request to come back.
-func (s *Shedder) UpdateRate(now time.Duration, key ShareKey, rate float64, after time.Duration) {
-	s.allowances.UpdateRate(now, key, rate, after)
+// UpdateRate records the rate that a home allows a team, in tokens per second. retryAfter is the
+// Retry-After delay of a refused request, or 0.
+func (s *Shedder) UpdateRate(now time.Duration, key ShareKey, rate float64, retryAfter time.Duration) {
+	s.allowances.UpdateRate(now, key, rate, retryAfter)
 }
--- a/limits/shedder_test.go
+++ b/limits/shedder_test.go
@@ -11,55 +11,56 @@
 	"github.com/aspenswitch/aspenswitch/limits"
 )
 
-// askMore is how many times a team's rate homes let routers ask for.
-const askMore = 2
+// allowanceFactor is the ratio of the rate that homes allow routers to request for a team to the
+// rate at which the team is served.
+const allowanceFactor = 2
 
-func arrival(team string) limits.Arrival {
+func newArrival(team string) limits.Arrival {
 	return limits.Arrival{Share: limits.ShareKey{Service: "llm", Team: team}, Tokens: 1, Streaming: true}
 }
 
-// flood asks so many times a second and lets through what the home's share allows. It
-// returns what was let through and what the home was asked.
-func flood(s *limits.Shedder, from time.Duration, perSecond, share int, length time.Duration) (sent, asked int) {
-	got := 0.0
-	gap := time.Second / time.Duration(perSecond)
-	for now := from; now < from+length; now += gap {
-		got += float64(share) * gap.Seconds()
-		if s.Check(now, arrival("flood")).Reason != limits.NotShed {
+// flood simulates requests at a constant rate, and a home that admits share of them per second.
+// It returns how many the home admitted and how many were sent to it.
+func flood(s *limits.Shedder, from time.Duration, requestsPerSecond, share int, length time.Duration) (admitted, requested int) {
+	credit := 0.0
+	interval := time.Second / time.Duration(requestsPerSecond)
+	for now := from; now < from+length; now += interval {
+		credit += float64(share) * interval.Seconds()
+		if s.Check(now, newArrival("flood")).Reason != limits.NotShed {
 			continue
 		}
-		asked++
-		after := time.Second
-		if got >= 1 {
-			got--
-			sent++
-			after = 0
+		requested++
+		retryAfter := time.Second
+		if credit >= 1 {
+			credit--
+			admitted++
+			retryAfter = 0
 		}
-		s.UpdateRate(now, arrival("flood").Share, float64(askMore*share), after)
+		s.UpdateRate(now, newArrival("flood").Share, float64(allowanceFactor*share), retryAfter)
 	}
-	return sent, asked
+	return admitted, requested
 }
 
-// Guards against a flood that asks homes for all of its requests.
+// Guards against requesting admission for all requests of a flood.
 func TestFloodIsRefusedWithoutAsking(t *testing.T) {
 	g := NewWithT(t)
 	s := limits.NewShedder(limits.DefaultShedConfig())
-	sent, asked := flood(s, time.Second, 2000, 100, 10*time.Second)
-	g.Expect(sent).To(BeNumerically(">", 930))
-	g.Expect(asked).To(BeNumerically("<", 2500))
+	admitted, requested := flood(s, time.Second, 2000, 100, 10*time.Second)
+	g.Expect(admitted).To(BeNumerically(">", 930))
+	g.Expect(requested).To(BeNumerically("<", 2500))
 }
 
-// Guards against a team that is held at what it got before its share grew.
+// Guards against limiting a team to its previous share after the share has grown.
 func TestAllowanceFollowsAGrowingShare(t *testing.T) {
 	g := NewWithT(t)
 	s := limits.NewShedder(limits.DefaultShedConfig())
 	flood(s, time.Second, 2000, 100, 5*time.Second)
 	flood(s, 6*time.Second, 2000, 1000, 4*time.Second)
-	sent, _ := flood(s, 10*time.Second, 2000, 1000, time.Second)
-	g.Expect(sent).To(BeNumerically(">", 850))
+	admitted, _ := flood(s, 10*time.Second, 2000, 1000, time.Second)
+	g.Expect(admitted).To(BeNumerically(">", 850))
 }
 
-// A team without a bound is never held back, whatever others do.
+// Guards against shedding requests of a team without a limit while another team floods.
 func TestTeamWithinItsShareIsNeverHeldBack(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := limits.NewShedder(limits.DefaultShedConfig())
@@ -67,24 +68,24 @@
 		for range rapid.IntRange(1, 300).Draw(rt, "requests") {
 			now += time.Duration(rapid.IntRange(0, 20).Draw(rt, "ms")) * time.Millisecond
 			if rapid.Bool().Draw(rt, "flood") {
-				if s.Check(now, arrival("flood")).Reason == limits.NotShed {
-					s.UpdateRate(now, arrival("flood").Share, 1, time.Second)
+				if s.Check(now, newArrival("flood")).Reason == limits.NotShed {
+					s.UpdateRate(now, newArrival("flood").Share, 1, time.Second)
 				}
 				continue
 			}
-			if s.Check(now, arrival("small")).Reason != limits.NotShed {
-				rt.Fatal("held back")
+			if s.Check(now, newArrival("small")).Reason != limits.NotShed {
+				rt.Fatal("a request of a team without a limit was shed")
 			}
-			s.UpdateRate(now, arrival("small").Share, math.Inf(1), 0)
+			s.UpdateRate(now, newArrival("small").Share, math.Inf(1), 0)
 		}
 	})
 }
 
-// A team's share at one home says nothing of what another home gives it.
-func TestHomesBoundATeamApart(t *testing.T) {
+// Guards against applying the rate of one home to requests for another.
+func TestEachHomeLimitsATeamSeparately(t *testing.T) {
 	g := NewWithT(t)
 	s := limits.NewShedder(limits.DefaultShedConfig())
-	first, second := arrival("flood"), arrival("flood")
+	first, second := newArrival("flood"), newArrival("flood")
 	second.Share.Group = 1
 	s.UpdateRate(time.Second, first.Share, 1, time.Second)
 	g.Expect(s.Check(time.Second, first).Reason).To(Equal(limits.NotShed))
@@ -93,64 +94,64 @@
 		g.Expect(s.Check(time.Second, second).Reason).To(Equal(limits.NotShed))
 	}
 	s.UpdateRate(time.Second, first.Share, math.Inf(1), 0)
-	g.Expect(s.Check(time.Second, first).Reason).To(Equal(limits.NotShed), "the bound is gone")
+	g.Expect(s.Check(time.Second, first).Reason).To(Equal(limits.NotShed), "the limit was removed")
 }
 
-// Guards against a team that is asked for at more or less than its allowance over any span.
+// Guards against requesting more or less than a team's allowance over any period.
 func TestAllowanceIsKeptOverAnySpan(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := limits.NewShedder(limits.DefaultShedConfig())
 		rate := float64(rapid.IntRange(100, 100000).Draw(rt, "rate"))
 		largest := rate / 2
-		now, asked, length := time.Second, 0.0, 6*time.Second
-		s.UpdateRate(now, arrival("flood").Share, rate, 0)
+		now, requested, length := time.Second, 0.0, 6*time.Second
+		s.UpdateRate(now, newArrival("flood").Share, rate, 0)
 		for now < time.Second+length {
-			a := arrival("flood")
+			a := newArrival("flood")
 			a.Tokens = max(1, largest*rapid.Float64Range(0, 1).Draw(rt, "size"))
 			if s.Check(now, a).Reason == limits.NotShed {
-				asked += a.Tokens
+				requested += a.Tokens
 				s.UpdateRate(now, a.Share, rate, 0)
 			}
 			now += time.Duration(rapid.IntRange(1, 20).Draw(rt, "ms")) * time.Millisecond
 		}
-		owed := rate * length.Seconds()
-		if asked > owed+rate+largest {
-			rt.Fatalf("asked for %.0f of %.0f", asked, owed)
+		allowed := rate * length.Seconds()
+		if requested > allowed+rate+largest {
+			rt.Fatalf("requested %.0f tokens, allowed %.0f", requested, allowed)
 		}
-		if asked < 0.9*owed-largest {
-			rt.Fatalf("asked for no more than %.0f of %.0f", asked, owed)
+		if requested < 0.9*allowed-largest {
+			rt.Fatalf("requested only %.0f of %.0f allowed tokens", requested, allowed)
 		}
 	})
 }
 
-// Guards against a team that is held for seconds to what its home allowed for a moment.
+// Guards against limiting a team for seconds to a rate that its home allowed only briefly.
 func TestOldAllowanceIsAskedForAnew(t *testing.T) {
 	g := NewWithT(t)
 	s := limits.NewShedder(limits.DefaultShedConfig())
-	a := arrival("flood")
+	a := newArrival("flood")
 	a.Tokens = 10000
-	const allowed, least = 100, 8
+	const allowed, minRequests = 100, 8
 	s.UpdateRate(time.Second, a.Share, allowed, 0)
-	asked := 0
+	requested := 0
 	for now := time.Second; now < 6*time.Second; now += time.Millisecond {
 		if s.Check(now, a).Reason == limits.NotShed {
-			asked++
+			requested++
 		}
 	}
-	g.Expect(asked).To(BeNumerically(">=", least), "one question uses up what is allowed for 100 s")
-	g.Expect(asked).To(BeNumerically("<=", 2*least))
+	g.Expect(requested).To(BeNumerically(">=", minRequests), "one request uses the allowance of 100 s")
+	g.Expect(requested).To(BeNumerically("<=", 2*minRequests))
 
 	s.UpdateRate(6*time.Second, a.Share, 1000*allowed*allowed, 0)
-	g.Expect(s.Check(6*time.Second+100*time.Millisecond, a).Reason).To(Equal(limits.NotShed), "questions for a new word cost nothing")
+	g.Expect(s.Check(6*time.Second+100*time.Millisecond, a).Reason).To(Equal(limits.NotShed), "requests for a new rate use no tokens")
 }
 
-// Guards against a team without a bound that holds up others at a late router.
+// Guards against a heavy team without a limit that delays other teams at a lagging router.
 func TestHeavyTeamIsRefusedWhileTheRouterIsBehind(t *testing.T) {
 	g := NewWithT(t)
 	s := limits.NewShedder(limits.DefaultShedConfig())
 	now := time.Second
 	at := func(team string, lag time.Duration) limits.ShedReason {
-		a := arrival(team)
+		a := newArrival(team)
 		a.Lag = lag
 		return s.Check(now, a).Reason
 	}
@@ -168,17 +169,17 @@
 	g.Expect(at("flood", 0)).To(Equal(limits.NotShed))
 	now += 10 * time.Second
 	at("smallb", behind)
-	g.Expect(at("flood", behind)).To(Equal(limits.Busy), "half of what came of late")
+	g.Expect(at("flood", behind)).To(Equal(limits.Busy), "half of the recent requests")
 }
 
-// Guards against a router that gives up a whole team because it is late.
+// Guards against a lagging router that sheds all requests of a heavy team.
 func TestHeavyTeamIsAskedForWhileTheRouterIsBehind(t *testing.T) {
 	const perSecond, seconds = 1000, 5
-	asked := func(lag time.Duration) int {
+	requested := func(lag time.Duration) int {
 		s := limits.NewShedder(limits.DefaultShedConfig())
 		n := 0
 		for now := time.Second; now < (1+seconds)*time.Second; now += time.Second / perSecond {
-			a := arrival("flood")
+			a := newArrival("flood")
 			a.Lag = lag
 			if s.Check(now, a).Reason == limits.NotShed {
 				n++
@@ -188,22 +189,22 @@
 	}
 	g := NewWithT(t)
 	behind := limits.DefaultShedConfig().LagThreshold
-	g.Expect(asked(behind - time.Millisecond)).To(Equal(perSecond))
-	g.Expect(asked(behind)).To(BeNumerically("~", perSecond/4, perSecond/50))
-	g.Expect(asked(2 * behind)).To(BeNumerically("~", perSecond/16, perSecond/50))
-	g.Expect(asked(limits.DefaultShedConfig().MaxStreamLag + time.Millisecond)).To(BeZero())
+	g.Expect(requested(behind - time.Millisecond)).To(Equal(perSecond))
+	g.Expect(requested(behind)).To(BeNumerically("~", perSecond/4, perSecond/50))
+	g.Expect(requested(2 * behind)).To(BeNumerically("~", perSecond/16, perSecond/50))
+	g.Expect(requested(limits.DefaultShedConfig().MaxStreamLag + time.Millisecond)).To(BeZero())
 }
 
-// Guards against a late router that asks for more, or less, than a team's share.
+// Guards against a lagging router that requests more or less than a team's share.
 func TestRouterThatIsBehindAsksForTheShare(t *testing.T) {
 	g := NewWithT(t)
 	const allowed, seconds = 200, 10
-	asked := func(lag time.Duration) int {
+	requested := func(lag time.Duration) int {
 		s := limits.NewShedder(limits.DefaultShedConfig())
-		s.UpdateRate(time.Second, arrival("flood").Share, allowed, 0)
+		s.UpdateRate(time.Second, newArrival("flood").Share, allowed, 0)
 		n := 0
 		for now := time.Second; now < (1+seconds)*time.Second; now += time.Millisecond {
-			a := arrival("flood")
+			a := newArrival("flood")
 			a.Lag = lag
 			if s.Check(now, a).Reason == limits.NotShed {
 				n++
@@ -213,6 +214,6 @@
 		return n
 	}
 	lag := limits.DefaultShedConfig().LagThreshold
-	g.Expect(asked(0)).To(BeNumerically("~", allowed*seconds, allowed))
-	g.Expect(asked(lag)).To(BeNumerically("~", allowed/askMore*seconds, allowed/askMore))
+	g.Expect(requested(0)).To(BeNumerically("~", allowed*seconds, allowed))
+	g.Expect(requested(lag)).To(BeNumerically("~", allowed/allowanceFactor*seconds, allowed/allowanceFactor))
 }
