--- a/registry/evacuation.go
+++ b/registry/evacuation.go
@@ -2,35 +2,35 @@
 
 import "github.com/aspenswitch/aspenswitch/boottime"
 
-// RecordEvacuation takes in that the evacuation of a failure domain was ordered or, if ended is set,
-// withdrawn, unless a later change of it is known.
+// RecordEvacuation records that the evacuation of a failure domain was ordered or, if ended is
+// set, withdrawn. It ignores revisions that aren't newer than the recorded one.
 func (r *Registry) RecordEvacuation(now boottime.Time, domain string, ended bool, revision int64) {
-	known, found := r.evacuations[domain]
-	if found && known.revision >= revision {
+	current, found := r.evacuations[domain]
+	if found && current.revision >= revision {
 		return
 	}
-	if ended && found && !known.ended {
+	if ended && found && !current.ended {
 		r.reopened[domain] = now
 	}
 	r.evacuations[domain] = evacuation{revision: revision, ended: ended}
-	r.forgetEvacuations()
+	r.limitEvacuations()
 }
 
-// ReplaceEvacuations takes in the failure domains that were being evacuated as of a revision, with
-// the revisions of the orders. Evacuations that are missing were withdrawn.
+// ReplaceEvacuations records the complete list of failure domains that are being evacuated as of
+// a revision, with the revisions of the orders. Older evacuations that aren't in it have ended.
 func (r *Registry) ReplaceEvacuations(now boottime.Time, domains map[string]int64, revision int64) {
-	for domain, ordered := range domains {
-		r.RecordEvacuation(now, domain, false, ordered)
+	for domain, orderRevision := range domains {
+		r.RecordEvacuation(now, domain, false, orderRevision)
 	}
-	for domain, known := range r.evacuations {
-		if _, still := domains[domain]; !still && !known.ended && known.revision < revision {
+	for domain, current := range r.evacuations {
+		if _, listed := domains[domain]; !listed && !current.ended && current.revision < revision {
 			r.RecordEvacuation(now, domain, true, revision)
 		}
 	}
 }
 
 // Evacuated returns the failure domains that are being evacuated, with the revisions of the
-// orders.
+// orders to evacuate them.
 func (r *Registry) Evacuated() map[string]int64 {
 	domains := map[string]int64{}
 	for domain, e := range r.evacuations {
@@ -41,11 +41,10 @@
 	return domains
 }
 
-// maxEvacuations bounds the memory for withdrawn evacuations of failure domains that nobody
-// knows.
+// maxEvacuations limits the memory used by withdrawn evacuations of unknown failure domains.
 const maxEvacuations = 256
 
-func (r *Registry) forgetEvacuations() {
+func (r *Registry) limitEvacuations() {
 	if len(r.evacuations) <= maxEvacuations {
 		return
 	}
--- a/registry/evacuation_test.go
+++ b/registry/evacuation_test.go
@@ -11,20 +11,21 @@
 	"github.com/aspenswitch/aspenswitch/registry"
 )
 
-func inDomain(id, domain string, revision int64) registry.Upstream {
-	u := entry(id, revision)
+func newEntryInDomain(id, domain string, revision int64) registry.Upstream {
+	u := newEntry(id, revision)
 	u.FailureDomain = domain
 	return u
 }
 
-// Guards against work for an evacuated failure domain, also for upstreams that register late.
+// Guards against sending requests to an evacuated failure domain, including upstreams that
+// register after the evacuation was ordered.
 func TestEvacuatedDomainTakesNoWork(t *testing.T) {
 	g := NewWithT(t)
 	r := registry.New()
-	r.Put(learned, inDomain("a", "north", 3))
-	r.Put(learned, inDomain("b", "south", 4))
-	r.RecordEvacuation(learned, "north", false, 5)
-	r.Put(learned, inDomain("late", "north", 6))
+	r.Put(receivedAt, newEntryInDomain("a", "north", 3))
+	r.Put(receivedAt, newEntryInDomain("b", "south", 4))
+	r.RecordEvacuation(receivedAt, "north", false, 5)
+	r.Put(receivedAt, newEntryInDomain("late", "north", 6))
 	v := r.View()
 	g.Expect(v.Ready("llm")).To(HaveLen(1))
 	g.Expect(v.Upstream("a")).To(BeNil())
@@ -32,12 +33,12 @@
 	g.Expect(v.Count("llm")).To(Equal(3))
 	g.Expect(v.ReopenedAt("north")).To(BeZero())
 
-	r.RecordEvacuation(learned.Add(time.Second), "north", true, 7)
+	r.RecordEvacuation(receivedAt.Add(time.Second), "north", true, 7)
 	g.Expect(r.View().Ready("llm")).To(HaveLen(3))
-	g.Expect(r.View().ReopenedAt("north")).To(Equal(learned.Add(time.Second)))
+	g.Expect(r.View().ReopenedAt("north")).To(Equal(receivedAt.Add(time.Second)))
 }
 
-// Guards against an evacuation that a late or repeated word brings back or ends.
+// Guards against delayed or repeated orders that restart or end an evacuation.
 func TestNewestOrderOfAnEvacuationHolds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		type order struct {
@@ -50,41 +51,41 @@
 			orders[i] = order{revision: int64(i + 1), ended: rapid.Bool().Draw(rt, "ended")}
 		}
 		r := registry.New()
-		r.Put(learned, inDomain("a", "north", 1))
+		r.Put(receivedAt, newEntryInDomain("a", "north", 1))
 		for _, o := range rapid.Permutation(append(orders, orders...)).Draw(rt, "order") {
-			r.RecordEvacuation(learned, "north", o.ended, o.revision)
+			r.RecordEvacuation(receivedAt, "north", o.ended, o.revision)
 		}
-		if taken := r.View().Upstream("a") != nil; taken != orders[n-1].ended {
-			rt.Fatalf("takes work: %v, last order %+v", taken, orders[n-1])
+		if available := r.View().Upstream("a") != nil; available != orders[n-1].ended {
+			rt.Fatalf("accepts requests: %v, last order %+v", available, orders[n-1])
 		}
 	})
 }
 
-// Guards against an evacuation whose end fell into a gap of the history and goes on for ever.
+// Guards against an evacuation that never ends because the router missed the change that ended it.
 func TestCompleteListEndsAnEvacuation(t *testing.T) {
 	g := NewWithT(t)
 	r := registry.New()
-	r.Put(learned, inDomain("a", "north", 1))
-	r.ReplaceEvacuations(learned, map[string]int64{"north": 5, "nowhere": 6}, 6)
+	r.Put(receivedAt, newEntryInDomain("a", "north", 1))
+	r.ReplaceEvacuations(receivedAt, map[string]int64{"north": 5, "nowhere": 6}, 6)
 	g.Expect(r.View().Evacuated()).To(Equal([]string{"north", "nowhere"}))
-	r.ReplaceEvacuations(learned, nil, 6)
-	g.Expect(r.View().Evacuated()).To(Equal([]string{"nowhere"}), "a list of the same revision knows of the order")
-	r.ReplaceEvacuations(learned, nil, 9)
+	r.ReplaceEvacuations(receivedAt, nil, 6)
+	g.Expect(r.View().Evacuated()).To(Equal([]string{"nowhere"}), "a list of the same revision doesn't end the evacuation")
+	r.ReplaceEvacuations(receivedAt, nil, 9)
 	g.Expect(r.View().Evacuated()).To(BeEmpty())
 	g.Expect(r.View().Upstream("a")).NotTo(BeNil())
 }
 
-// Guards against a warm-up that starts anew whenever a router hears of the same entry again.
-func TestWarmUpCountsFromTheFirstWordOfAnEntry(t *testing.T) {
+// Guards against a warm-up that restarts whenever a router receives the same entry again.
+func TestWarmUpCountsFromTheFirstReceiptOfAnEntry(t *testing.T) {
 	g := NewWithT(t)
 	r := registry.New()
-	cold := entry("a", 3)
-	cold.WarmUpLeft = 4 * time.Second
-	r.Put(learned, cold)
-	r.Put(learned.Add(time.Second), cold)
-	until := func() boottime.Time { return r.View().Upstream("a").WarmUpEnd }
-	g.Expect(until()).To(Equal(learned.Add(4 * time.Second)))
-	cold.Revision = 4
-	r.Put(learned.Add(2*time.Second), cold)
-	g.Expect(until()).To(Equal(learned.Add(6*time.Second)), "it has turned cold again")
+	warming := newEntry("a", 3)
+	warming.WarmUpLeft = 4 * time.Second
+	r.Put(receivedAt, warming)
+	r.Put(receivedAt.Add(time.Second), warming)
+	warmUpEnd := func() boottime.Time { return r.View().Upstream("a").WarmUpEnd }
+	g.Expect(warmUpEnd()).To(Equal(receivedAt.Add(4 * time.Second)))
+	warming.Revision = 4
+	r.Put(receivedAt.Add(2*time.Second), warming)
+	g.Expect(warmUpEnd()).To(Equal(receivedAt.Add(6*time.Second)), "a new revision restarts the warm-up")
 }
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -9,27 +9,28 @@
 	"github.com/aspenswitch/aspenswitch/boottime"
 )
 
-// LapseGrace is how long an entry that went missing around an outage of the
-// platform is still used: upstreams that live register again within two
-// seconds of its return. It is less than the shortest time within which a
-// leaving upstream must get no more work, which is two seconds as well.
+// LapseGrace is how long an entry that disappeared around an outage of the platform is still
+// used. Running upstreams register again within 2 s after the platform has recovered. The grace
+// period is shorter than the shortest time after which a leaving upstream must receive no more
+// requests, which is also 2 s.
 const LapseGrace = 1500 * time.Millisecond
 
-// Registry holds the entries. One goroutine owns it.
+// Registry stores the entries of upstreams and the evacuations of failure domains. It isn't safe
+// for concurrent use.
 type Registry struct {
 	entries map[string]Upstream
-	// gone has the revision of deletions, so that a late page of a listing
-	// doesn't bring an entry back.
-	gone map[string]int64
-	// lapsed entries are used until the moment given.
+	// tombstones has the revisions of deletions, so that a delayed page of a listing doesn't
+	// restore a deleted entry.
+	tombstones map[string]int64
+	// lapsed has the times until which lapsed entries are used.
 	lapsed map[string]boottime.Time
-	// evacuations are by failure domain, reopened has when the evacuation of a failure
-	// domain was last withdrawn.
+	// evacuations has the latest order for each failure domain. reopened has the times at which
+	// evacuations were last withdrawn.
 	evacuations map[string]evacuation
 	reopened    map[string]boottime.Time
 }
 
-// evacuation is the newest order for a failure domain.
+// evacuation is the latest order for a failure domain. ended is set if it was withdrawn.
 type evacuation struct {
 	revision int64
 	ended    bool
@@ -38,14 +39,15 @@
 // New returns an empty registry.
 func New() *Registry {
 	return &Registry{
-		entries: map[string]Upstream{}, gone: map[string]int64{}, lapsed: map[string]boottime.Time{},
+		entries: map[string]Upstream{}, tombstones: map[string]int64{}, lapsed: map[string]boottime.Time{},
 		evacuations: map[string]evacuation{}, reopened: map[string]boottime.Time{},
 	}
 }
 
-// Put takes an entry in that was learned of now, unless a later change of it is known.
+// Put records an entry received at now, unless a later change or deletion of it is recorded. The
+// warm-up of an entry counts from when its revision was first received.
 func (r *Registry) Put(now boottime.Time, u Upstream) {
-	if r.gone[u.ID] > u.Revision || r.entries[u.ID].Revision > u.Revision {
+	if r.tombstones[u.ID] > u.Revision || r.entries[u.ID].Revision > u.Revision {
 		return
 	}
 	delete(r.lapsed, u.ID)
@@ -53,21 +55,21 @@
 		u.Started = r.entries[u.ID].Started
 	}
 	u.WarmUpEnd = now.Add(u.WarmUpLeft)
-	if known := r.entries[u.ID]; known.Revision == u.Revision && known.WarmUpEnd != 0 {
-		u.WarmUpEnd = known.WarmUpEnd
+	if current := r.entries[u.ID]; current.Revision == u.Revision && current.WarmUpEnd != 0 {
+		u.WarmUpEnd = current.WarmUpEnd
 	}
 	r.entries[u.ID] = u
 }
 
-// Delete removes an entry that was deleted at a revision.
+// Delete records that an entry was deleted at a revision, unless a later change is recorded.
 func (r *Registry) Delete(id string, revision int64) {
 	if r.entries[id].Revision > revision {
 		return
 	}
 	delete(r.entries, id)
 	delete(r.lapsed, id)
-	r.gone[id] = max(r.gone[id], revision)
-	r.forget()
+	r.tombstones[id] = max(r.tombstones[id], revision)
+	r.limitTombstones()
 }
 
 // Get returns an entry.
@@ -76,19 +78,19 @@
 	return u, found
 }
 
-// maxGone bounds the memory for deletions; a listing takes seconds, in which no
-// fleet loses as many upstreams.
-const maxGone = 4096
+// maxTombstones limits the memory used by tombstones. They are only needed while a listing is in
+// progress, which takes seconds; no fleet loses that many upstreams in this time.
+const maxTombstones = 4096
 
-func (r *Registry) forget() {
-	if len(r.gone) <= maxGone {
+func (r *Registry) limitTombstones() {
+	if len(r.tombstones) <= maxTombstones {
 		return
 	}
-	clear(r.gone)
+	clear(r.tombstones)
 }
 
-// Lapse marks an entry as missing. It is used until the moment given, and stays
-// if Put brings it back. A mark that is there already isn't put off.
+// Lapse marks an entry as missing. It is removed after the given time unless Put restores it
+// before. Lapsing an entry again doesn't extend the time.
 func (r *Registry) Lapse(id string, until boottime.Time) {
 	if _, known := r.entries[id]; !known {
 		return
@@ -98,7 +100,7 @@
 	}
 }
 
-// Missing returns the entries that a complete listing lacks.
+// Missing returns the IDs of the entries that aren't in a complete listing.
 func (r *Registry) Missing(listed map[string]bool) []string {
 	var missing []string
 	for id := range r.entries {
@@ -109,8 +111,7 @@
 	return missing
 }
 
-// Expire removes lapsed entries whose grace is over. It reports whether any was
-// removed.
+// Expire removes lapsed entries whose grace period has ended. It reports whether it removed any.
 func (r *Registry) Expire(now boottime.Time) bool {
 	removed := false
 	for id, until := range r.lapsed {
@@ -124,10 +125,10 @@
 	return removed
 }
 
-// Lapsed returns the entries that wait for their grace to end, with its end.
+// Lapsed returns the IDs of lapsed entries with the ends of their grace periods.
 func (r *Registry) Lapsed() map[string]boottime.Time { return maps.Clone(r.lapsed) }
 
-// View returns the present entries.
+// View returns a snapshot of the registry.
 func (r *Registry) View() *View {
 	v := &View{
 		byID: make(map[string]*Upstream, len(r.entries)), ready: map[string][]*Upstream{}, counts: map[string]int{},
@@ -138,7 +139,7 @@
 		if !u.Draining {
 			v.counts[u.Service]++
 		}
-		if v.takesWork(&u) {
+		if v.acceptsRequests(&u) {
 			v.ready[u.Service] = append(v.ready[u.Service], &u)
 		}
 	}
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -11,31 +11,31 @@
 	"github.com/aspenswitch/aspenswitch/registry"
 )
 
-// learned is when the entries of tests became known.
-const learned = boottime.Time(time.Minute)
+// receivedAt is when tests receive their entries.
+const receivedAt = boottime.Time(time.Minute)
 
-func entry(id string, revision int64) registry.Upstream {
+func newEntry(id string, revision int64) registry.Upstream {
 	return registry.Upstream{ID: id, Service: "llm", Address: "10.0.0.1:80", Revision: revision}
 }
 
-// A caller's request would reach an upstream that has left. A listing of several
-// pages runs while the upstream leaves: its deletion is heard first, then the
-// late page brings the old entry. The deletion's revision is the newer one.
+// Guards against sending requests to an upstream that has left. It leaves during a listing of
+// several pages: its deletion is received first, then a delayed page with the old entry. The
+// deletion has the higher revision.
 func TestLatePageDoesNotBringBackADeletedEntry(t *testing.T) {
 	g := NewWithT(t)
 	r := registry.New()
-	r.Put(learned, entry("a", 3))
+	r.Put(receivedAt, newEntry("a", 3))
 	r.Delete("a", 7)
-	r.Put(learned, entry("a", 3))
+	r.Put(receivedAt, newEntry("a", 3))
 	g.Expect(r.View().Upstream("a")).To(BeNil())
 }
 
-// Callers would be refused though their upstreams live. Entries lapse while the
-// platform is away; the upstreams register again within two seconds.
+// Guards against refusing requests although their upstreams are running. Entries lapse during an
+// outage of the platform; the upstreams register again within 2 s.
 func TestLapsedEntryIsUsedUntilItsGraceEnds(t *testing.T) {
 	g := NewWithT(t)
 	r := registry.New()
-	r.Put(learned, entry("a", 3))
+	r.Put(receivedAt, newEntry("a", 3))
 	now := boottime.Time(time.Second)
 	g.Expect(r.Missing(map[string]bool{"b": true})).To(ConsistOf("a"))
 	g.Expect(r.Missing(map[string]bool{"a": true})).To(BeEmpty())
@@ -46,12 +46,12 @@
 	g.Expect(r.View().Upstream("a")).To(BeNil())
 }
 
-// The grace isn't renewed by a second word of the same: an
-// upstream that has left would be used for ever.
+// Guards against a grace period that restarts whenever the entry is reported missing again: an
+// upstream that has left would be used indefinitely.
 func TestLapseIsNotPutOff(t *testing.T) {
 	g := NewWithT(t)
 	r := registry.New()
-	r.Put(learned, entry("a", 3))
+	r.Put(receivedAt, newEntry("a", 3))
 	now := boottime.Time(time.Second)
 	r.Lapse("a", now.Add(registry.LapseGrace))
 	r.Lapse("a", now.Add(time.Second+registry.LapseGrace))
@@ -61,40 +61,41 @@
 func TestDrainingUpstreamGetsNoNewWork(t *testing.T) {
 	g := NewWithT(t)
 	r := registry.New()
-	r.Put(learned, entry("a", 3))
-	leaving := entry("a", 5)
-	leaving.Draining = true
-	r.Put(learned, leaving)
-	r.Put(learned, entry("a", 3))
+	r.Put(receivedAt, newEntry("a", 3))
+	draining := newEntry("a", 5)
+	draining.Draining = true
+	r.Put(receivedAt, draining)
+	r.Put(receivedAt, newEntry("a", 3))
 	g.Expect(r.View().Ready("llm")).To(BeEmpty())
 	g.Expect(r.View().Upstream("a")).To(BeNil())
 	g.Expect(r.View().All()).To(HaveLen(1))
 }
 
-// Changes come in any order and more than once; the newest revision decides.
+// Guards against applying an older change over a newer one. Changes arrive in any order and more
+// than once.
 func TestOrderOfChangesDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		type change struct {
 			revision int64
-			gone     bool
+			deleted  bool
 		}
 		n := rapid.IntRange(1, 6).Draw(rt, "changes")
 		changes := make([]change, n)
 		for i := range changes {
-			changes[i] = change{revision: int64(i + 1), gone: rapid.Bool().Draw(rt, "gone")}
+			changes[i] = change{revision: int64(i + 1), deleted: rapid.Bool().Draw(rt, "gone")}
 		}
 		shuffled := rapid.Permutation(append(changes, changes...)).Draw(rt, "order")
 		r := registry.New()
 		for _, c := range shuffled {
-			if c.gone {
+			if c.deleted {
 				r.Delete("a", c.revision)
 			} else {
-				r.Put(learned, entry("a", c.revision))
+				r.Put(receivedAt, newEntry("a", c.revision))
 			}
 		}
 		last := changes[n-1]
-		if (r.View().Upstream("a") == nil) != last.gone {
-			rt.Fatalf("%v: last change %+v not in force", shuffled, last)
+		if (r.View().Upstream("a") == nil) != last.deleted {
+			rt.Fatalf("%v: the last change %+v isn't in effect", shuffled, last)
 		}
 	})
 }
--- a/registry/upstream.go
+++ b/registry/upstream.go
@@ -1,5 +1,5 @@
-// Package registry keeps which upstreams there are, as the platform publishes
-// them. It is pure: the caller passes the time.
+// Package registry stores the upstreams that the platform publishes. It performs no I/O and starts
+// no goroutines; callers pass in the current time.
 package registry
 
 import (
@@ -8,33 +8,33 @@
 	"github.com/aspenswitch/aspenswitch/boottime"
 )
 
-// Upstream is one incarnation of an upstream. A restart may keep the ID; Started then
-// tells the two apart.
+// Upstream is the entry of one incarnation of an upstream. A restarted upstream may keep its ID;
+// Started then distinguishes the incarnations.
 type Upstream struct {
 	ID      string
 	Service string
-	// Address is IP:port. It may be used again by another upstream later.
+	// Address is IP:port. It may later be reused by another upstream.
 	Address       string
 	FailureDomain string
-	// Slots is how many requests it works on at once.
+	// Slots is the number of requests that it processes concurrently.
 	Slots int
-	// Draining upstreams get no new work.
+	// Draining is set if the upstream must receive no new requests.
 	Draining bool
-	// WarmUpLeft is how much longer it was warming up when it wrote its entry.
+	// WarmUpLeft is the remaining warm-up time when the upstream wrote its entry.
 	WarmUpLeft time.Duration
-	// WarmUpEnd is when its warm-up is over at the latest, on the boot clock of this router,
-	// which counts WarmUpLeft from the moment at which it learned of the entry.
+	// WarmUpEnd is the latest time at which the warm-up ends, on the boot clock of this router:
+	// WarmUpLeft after the router received the entry.
 	WarmUpEnd boottime.Time `json:"-"`
-	// Started is when its process started by its own clock, in Unix milliseconds; 0 if
-	// it doesn't say. Clocks are set back: another moment is another start, an earlier
-	// one too.
+	// Started is the start time of the process by its own clock, in Unix milliseconds, or 0 if
+	// the upstream doesn't report it. Any other value, even a lower one, means another start,
+	// since clocks can be set back.
 	Started int64
-	// Revision is the platform's, of the entry's last change.
+	// Revision is the platform's revision of the last change to the entry.
 	Revision int64
 }
 
-// RestartOf reports whether u is another start of the same upstream. One that says
-// nothing of its start may be either and counts as the same.
+// RestartOf reports whether u is a different incarnation of the upstream than earlier. An unknown
+// start time counts as the same.
 func (u *Upstream) RestartOf(earlier *Upstream) bool {
 	return u.Started != 0 && earlier.Started != 0 && u.Started != earlier.Started
 }
--- a/registry/view.go
+++ b/registry/view.go
@@ -7,34 +7,35 @@
 	"github.com/aspenswitch/aspenswitch/boottime"
 )
 
-// View is the registry at one moment. It isn't changed once made.
+// View is an immutable snapshot of a Registry.
 type View struct {
 	byID  map[string]*Upstream
 	ready map[string][]*Upstream
-	// counts are the upstreams of a service that aren't leaving, evacuated ones included.
+	// counts has the number of each service's upstreams that aren't draining, including those in
+	// evacuated failure domains.
 	counts    map[string]int
 	evacuated map[string]int64
 	reopened  map[string]boottime.Time
 }
 
-// Ready returns the upstreams of a service that take new work, by ID.
+// Ready returns the upstreams of a service that accept new requests, sorted by ID.
 func (v *View) Ready(service string) []*Upstream { return v.ready[service] }
 
-// Count returns the number of a service's upstreams that aren't leaving, including those in
+// Count returns the number of a service's upstreams that aren't draining, including those in
 // failure domains that are being evacuated.
 func (v *View) Count(service string) int { return v.counts[service] }
 
-// Upstream finds an upstream that takes new work, nil if it doesn't or is not
-// known.
+// Upstream returns the upstream with the given ID, or nil if it is unknown or accepts no new
+// requests.
 func (v *View) Upstream(id string) *Upstream {
 	u := v.byID[id]
-	if u == nil || !v.takesWork(u) {
+	if u == nil || !v.acceptsRequests(u) {
 		return nil
 	}
 	return u
 }
 
-// All returns every entry, also those of upstreams that are leaving.
+// All returns all entries, including those of draining upstreams, in no particular order.
 func (v *View) All() []Upstream {
 	all := make([]Upstream, 0, len(v.byID))
 	for _, u := range v.byID {
@@ -53,7 +54,7 @@
 }
 
 // ReopenedAt returns when this router learned that the evacuation of a failure domain was
-// withdrawn, 0 if it has not seen that.
+// withdrawn, or 0 if it has seen no withdrawal.
 func (v *View) ReopenedAt(domain string) boottime.Time { return v.reopened[domain] }
 
 func (v *View) isEvacuated(domain string) bool {
@@ -61,4 +62,6 @@
 	return evacuated
 }
 
-func (v *View) takesWork(u *Upstream) bool { return !u.Draining && !v.isEvacuated(u.FailureDomain) }
+func (v *View) acceptsRequests(u *Upstream) bool {
+	return !u.Draining && !v.isEvacuated(u.FailureDomain)
+}
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -2,82 +2,82 @@
 
 import "time"
 
-// Budget bounds the arrivals at a service beyond the first of each request. It
-// answers an outage in which every request fails: without it, retries multiply
-// the load just when upstreams are weakest.
+// Budget is a retry budget: it limits how many retries a router sends to each service. Without
+// it, an outage in which every request fails would multiply the load while the upstreams can
+// handle the least.
 //
-// The bound holds for the whole fleet without messages: a router's retries are
-// at most its share of the allowance and a ratio of its own first sends, and
-// both add up over routers to the fleet's bound.
+// The limit holds for the whole fleet without communication between routers. Each router's
+// retries are limited to its share of the allowance plus a ratio of its own first attempts;
+// summed over all routers, these don't exceed the fleet's limit.
 type Budget struct {
-	// Ratio of retries to first sends that the fleet may reach.
+	// Ratio is the ratio of retries to first attempts that the fleet may reach.
 	Ratio float64
-	// Allowance is the number of retries in a window that the fleet may make
-	// beyond the ratio.
+	// Allowance is the number of retries per window that the fleet may send in addition.
 	Allowance float64
-	// Window is the span over which both are counted.
+	// Window is the period over which attempts and retries are counted.
 	Window time.Duration
 
-	services map[string]*spent
+	services map[string]*attemptCounts
 }
 
-// spent counts a service's sends in buckets, as a ring.
-type spent struct {
-	firsts, retries [budgetBuckets]int
-	at              int64
+// attemptCounts counts the attempts for one service in a ring of time buckets. bucket is the
+// number of the current one, counted from time 0.
+type attemptCounts struct {
+	firstAttempts, retries [ringBuckets]int
+	bucket                 int64
 }
 
 const (
-	// budgetBuckets divide a window: a send is forgotten a tenth of a window
-	// late at most, so a retry counts for longer than it must.
-	budgetBuckets = 12
-	bucketsWindow = 10
-	// budgetUse is the part of the bound that is used: what is left covers
-	// windows that begin between two buckets and routers that have just come.
-	budgetUse = 0.7
+	// ringBuckets exceeds bucketsPerWindow: an attempt is counted for 1.1 to 1.2 windows, which
+	// is longer than necessary but never less than a window.
+	ringBuckets      = 12
+	bucketsPerWindow = 10
+	// safetyFactor is the fraction of the limit that is used. The rest covers windows that
+	// start in the middle of a bucket, and routers that have just joined.
+	safetyFactor = 0.7
 )
 
-// RecordFirstAttempt counts the first send of a request.
+// RecordFirstAttempt counts the first attempt of a request to a service.
 func (b *Budget) RecordFirstAttempt(now time.Duration, service string) {
 	s := b.service(now, service)
-	s.firsts[s.at%budgetBuckets]++
+	s.firstAttempts[s.bucket%ringBuckets]++
 }
 
-// TryAcquire reports whether a request may be sent once more, and counts it if so.
+// TryAcquire reports whether a request to a service may be retried, and counts the retry if so.
 // routers is the number of routers in the fleet.
 func (b *Budget) TryAcquire(now time.Duration, service string, routers int) bool {
 	s := b.service(now, service)
-	firsts, retries := 0, 0
-	for i := range budgetBuckets {
+	firstAttempts, retries := 0, 0
+	for i := range ringBuckets {
 		retries += s.retries[i]
-		firsts += s.firsts[i]
+		firstAttempts += s.firstAttempts[i]
 	}
-	allowed := budgetUse * (b.Ratio*float64(firsts)*bucketsWindow/budgetBuckets + b.Allowance/float64(max(routers, 1)))
+	allowed := safetyFactor * (b.Ratio*float64(firstAttempts)*bucketsPerWindow/ringBuckets + b.Allowance/float64(max(routers, 1)))
 	if float64(retries+1) > allowed {
 		return false
 	}
-	s.retries[s.at%budgetBuckets]++
+	s.retries[s.bucket%ringBuckets]++
 	return true
 }
 
-// service returns a service's counters, moved on to the present.
-func (b *Budget) service(now time.Duration, name string) *spent {
+// service returns the counts of a service after advancing them to the current bucket.
+func (b *Budget) service(now time.Duration, name string) *attemptCounts {
 	if b.services == nil {
-		b.services = map[string]*spent{}
+		b.services = map[string]*attemptCounts{}
 	}
 	s := b.services[name]
-	at := int64(now / (b.Window / bucketsWindow))
+	bucket := int64(now / (b.Window / bucketsPerWindow))
 	if s == nil {
-		s = &spent{at: at}
+		s = &attemptCounts{bucket: bucket}
 		b.services[name] = s
 	}
-	if at-s.at > budgetBuckets {
-		s.at = at - budgetBuckets
+	if bucket-s.bucket > ringBuckets {
+		s.bucket = bucket - ringBuckets
 	}
-	for s.at < at {
-		s.at++
-		s.firsts[s.at%budgetBuckets] = 0
-		s.retries[s.at%budgetBuckets] = 0
+	for s.bucket < bucket {
+		s.bucket++
+		s.firstAttempts[s.bucket%ringBuckets] = 0
+		s.retries[s.bucket%ringBuckets] = 0
 	}
 	return s
 }
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -10,9 +10,9 @@
 	"github.com/aspenswitch/aspenswitch/retry"
 )
 
-// Every request fails and every router retries as often as it may. In no window
-// may all routers together send more retries than the ratio of the requests and
-// the allowance: the upstreams would get the more work the worse they are.
+// Guards against retries that multiply the load while upstreams fail. Every request fails and every
+// router retries as often as its budget permits; in no window may the retries of all routers exceed
+// the ratio of the requests plus the allowance.
 func TestRetriesOfAllRoutersStayWithinTheBudget(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const window = 10 * time.Second
@@ -21,15 +21,15 @@
 		for i := range budgets {
 			budgets[i] = retry.Budget{Ratio: 0.2, Allowance: 50, Window: window}
 		}
-		var firsts, retries []time.Duration
-		at := time.Duration(0)
+		var firstAttempts, retries []time.Duration
+		now := time.Duration(0)
 		for range 3000 {
-			at += time.Duration(rapid.IntRange(0, 40).Draw(rt, "gap")) * time.Millisecond
+			now += time.Duration(rapid.IntRange(0, 40).Draw(rt, "gap")) * time.Millisecond
 			b := &budgets[rapid.IntRange(0, routers-1).Draw(rt, "router")]
-			b.RecordFirstAttempt(at, "llm")
-			firsts = append(firsts, at)
-			for b.TryAcquire(at, "llm", routers) {
-				retries = append(retries, at)
+			b.RecordFirstAttempt(now, "llm")
+			firstAttempts = append(firstAttempts, now)
+			for b.TryAcquire(now, "llm", routers) {
+				retries = append(retries, now)
 			}
 		}
 		for i, end := range retries {
@@ -39,21 +39,21 @@
 					n++
 				}
 			}
-			asked := 0
-			for _, f := range firsts {
+			requests := 0
+			for _, f := range firstAttempts {
 				if f > end-window && f <= end {
-					asked++
+					requests++
 				}
 			}
-			if float64(n) > 0.2*float64(asked)+50 {
-				rt.Fatalf("%d retries for %d requests within a window", n, asked)
+			if float64(n) > 0.2*float64(requests)+50 {
+				rt.Fatalf("%d retries for %d requests within a window", n, requests)
 			}
 		}
 	})
 }
 
-// Without any request of its own a router keeps a part of the allowance, so a
-// quiet service's single failure is retried.
+// Guards against refusing the retry of a single failure at a service with few requests. Every
+// router has a share of the allowance, even without requests of its own.
 func TestQuietServiceMayRetry(t *testing.T) {
 	g := NewWithT(t)
 	b := retry.Budget{Ratio: 0.2, Allowance: 50, Window: 10 * time.Second}
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -1,55 +1,55 @@
-// Package retry decides whether a request that failed at an upstream may be
-// sent again, and what the caller is told if not. The package is pure.
+// Package retry decides whether a request that failed at an upstream may be retried, and which
+// outcome is reported to the caller otherwise. It performs no I/O and starts no goroutines;
+// callers pass in the current time.
 package retry
 
 import "time"
 
-// Outcome tells a caller what became of its request.
+// Outcome reports to a caller whether its request was run.
 type Outcome string
 
-// Outcomes.
 const (
-	// NotRun: the request truly did not run.
+	// NotRun means that the request was certainly not run.
 	NotRun Outcome = "not-run"
-	// Unknown: the request may have run.
+	// Unknown means that the request may have run.
 	Unknown Outcome = "unknown"
-	// Ran: the upstream answered.
+	// Ran means that the upstream responded.
 	Ran Outcome = "ran"
 )
 
-// Failure is what is known of a request that got no whole answer.
+// Failure describes an attempt that received no complete response.
 type Failure struct {
-	// Sent is set if any of the request may have left for the upstream.
+	// Sent is set if any part of the request may have been sent to the upstream.
 	Sent bool
-	// ResponseStarted is set if a part of the answer has gone to the caller.
+	// ResponseStarted is set if any part of the response has been sent to the caller.
 	ResponseStarted bool
-	// Repeatable requests are idempotent.
+	// Repeatable is set for idempotent requests.
 	Repeatable bool
-	// Attempt counts the tries so far, this one included.
+	// Attempt is the number of attempts so far, including this one.
 	Attempt int
 }
 
-// Decision is what to do after a failure.
+// Decision is the decision on a failed attempt.
 type Decision struct {
 	Retry   bool
 	Outcome Outcome
 }
 
-// Policy bounds retries.
+// Policy configures retries.
 type Policy struct {
-	// MaxAttempts is the most times that a request is tried. More hide more
-	// failures and multiply the load when all upstreams fail.
+	// MaxAttempts is the maximum number of attempts per request. A higher number hides more
+	// failures, but multiplies the load when all upstreams fail.
 	MaxAttempts int
-	// AvoidDuration is how long an upstream that failed gets no work from this router.
+	// AvoidDuration is how long this router sends no requests to an upstream after a failure.
 	AvoidDuration time.Duration
 }
 
 // DefaultPolicy returns a policy for upstreams that fail one at a time.
 func DefaultPolicy() Policy { return Policy{MaxAttempts: 3, AvoidDuration: 2 * time.Second} }
 
-// Decide applies the policy. A request that can't have left may always be sent
-// again; one that may have left only if it is repeatable, and if nothing of an
-// answer has gone to the caller, who would else get two answers in one.
+// Decide applies the policy to a failure. A request that was certainly not sent may always be
+// retried. One that may have been sent is only retried if it is repeatable and the caller has
+// received no part of a response: it would otherwise receive parts of two responses.
 func (p Policy) Decide(f Failure) Decision {
 	d := Decision{Outcome: Unknown}
 	if !f.Sent {
--- a/routing/config.go
+++ b/routing/config.go
@@ -1,5 +1,5 @@
-// Package routing holds the operators' configuration of a fleet: which request
-// goes to which service, who may send it, and within which limits. It is pure.
+// Package routing defines the configuration of a fleet: which service a request is routed to, who
+// may send it, and within which limits. It performs no I/O and starts no goroutines.
 package routing
 
 import (
@@ -8,9 +8,9 @@
 	"github.com/aspenswitch/aspenswitch/warmup"
 )
 
-// Config is one version of the configuration. It isn't changed once made.
+// Config is one version of the configuration. It is immutable.
 type Config struct {
-	// Version only grows.
+	// Version increases with every change.
 	Version  int64
 	Routes   []Route
 	Services []Service
@@ -18,90 +18,91 @@
 	Limits   Limits
 }
 
-// Route sends the requests of a host whose path has a prefix to services.
+// Route routes the requests for a host and a path prefix to services.
 type Route struct {
 	Name string
 	Host string
-	// Prefix begins and ends with a slash. The longest that fits wins.
+	// Prefix begins and ends with a slash. The longest matching prefix takes precedence.
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest time a caller is kept waiting for the whole answer.
+	// Timeout is the maximum time until a response is complete.
 	Timeout time.Duration
-	// Target is the time to the first byte within which an answer is of full use.
+	// Target is the time to the first byte within which a response is of full use to the caller.
 	Target time.Duration
-	// Gap is the longest pause between two events of a stream that is on time.
+	// Gap is the target for the maximum time between two events of a stream.
 	Gap time.Duration
-	// Priority is the rank of the route; 0 goes first.
+	// Priority is the priority of the requests; 0 is the highest.
 	Priority int
-	// Split divides the requests among services by weight.
+	// Split distributes the requests over services by weight.
 	Split []Share
-	// MaxAttempts is how many upstreams one request may be sent to.
+	// MaxAttempts is the maximum number of upstreams that one request may be sent to.
 	MaxAttempts int
-	// Public routes need no key.
+	// Public is set if requests need no API key.
 	Public bool
-	// Sticky requests name the parts of their prompt; they run faster where
-	// those are cached.
+	// Sticky is set if requests identify the parts of their prompt. They run faster at an
+	// upstream that has these parts cached.
 	Sticky bool
-	// Resumable streams may go on at another upstream.
+	// Resumable is set if a stream may continue at another upstream.
 	Resumable bool
-	// Regions are those whose upstreams may serve the route; empty means all.
+	// Regions are the regions whose upstreams may serve the route. Empty means all.
 	Regions []string
 }
 
-// Repeatable reports whether a request of the route may run more than once.
+// Repeatable reports whether a request may run more than once.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Safe || (r.Kind == Streaming && r.Resumable)
 }
 
-// Share is a service's part of a route's requests.
+// Share is the weight of a service in a route's Split.
 type Share struct {
 	Service string
 	Weight  int
 }
 
-// Service is a group of upstreams that do the same.
+// Service is a set of interchangeable upstreams.
 type Service struct {
 	Name       string
 	HealthPath string
-	// MaxConns is how many connections each upstream takes from all routers.
+	// MaxConns is the maximum number of connections that each upstream accepts from all routers
+	// together.
 	MaxConns int
-	// Engine is set for model engines.
+	// Engine is set if the upstreams are model engines.
 	Engine *Engine
-	// WarmUp is how the upstreams warm up after a start.
+	// WarmUp is the limit that applies to each upstream after its start.
 	WarmUp warmup.Limit
 }
 
 // Engine describes a model engine.
 type Engine struct {
-	// Slots is how many requests are batched at once.
+	// Slots is the maximum number of requests in a batch.
 	Slots int
-	// KVTokens is the KV cache's size, shared by running requests and cached
-	// prompt parts.
+	// KVTokens is the capacity of the KV cache in tokens. Running requests and cached prompt
+	// parts share it.
 	KVTokens int
-	// KVTokenBytes is what a cached token weighs when an engine copies it from
-	// another; LinkMbps is how fast. 0 means that engines don't copy.
+	// KVTokenBytes is the size of a cached token when an engine copies it from another, and
+	// LinkMbps the rate of such a copy. 0 means that engines don't copy.
 	KVTokenBytes int
 	LinkMbps     float64
 }
 
-// Team holds API keys.
+// Team is a tenant that is identified by its API keys.
 type Team struct {
 	Name     string
 	Keys     []string
 	Priority int
-	// Ranked is set if Priority replaces the route's.
+	// Ranked is set if Priority overrides the priority of the route.
 	Ranked bool
-	// Regions are those whose upstreams may serve the team; empty means all.
+	// Regions are the regions whose upstreams may serve the team. Empty means all.
 	Regions []string
 }
 
-// Limits bound what a caller may send.
+// Limits are the limits on callers' requests.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
 	HeaderTimeout  time.Duration
 	IdleTimeout    time.Duration
-	// TokensPerSecond is what all engines together yield; a token read counts
-	// once, a token generated twice. 0 is not known.
+	// TokensPerSecond is the throughput of all engines together, or 0 if it is unknown. An input
+	// token counts once, a generated token twice.
 	TokensPerSecond float64
 }
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -9,7 +9,7 @@
 	"github.com/aspenswitch/aspenswitch/routing"
 )
 
-func table() *routing.Table {
+func newTable() *routing.Table {
 	return routing.NewTable(&routing.Config{
 		Version: 1,
 		Routes: []routing.Route{
@@ -23,23 +23,23 @@
 
 func TestLongestPrefixWins(t *testing.T) {
 	g := NewWithT(t)
-	tb := table()
+	table := newTable()
 	for path, want := range map[string]string{"/x/1": "short", "/x/y/1": "long", "/x/y": "short"} {
-		g.Expect(tb.Match("a.example", path).Name).To(Equal(want), path)
+		g.Expect(table.Match("a.example", path).Name).To(Equal(want), path)
 	}
-	g.Expect(tb.Match("a.example", "/x")).To(BeNil())
-	g.Expect(tb.Match("c.example", "/x/1")).To(BeNil())
-	g.Expect(tb.Match("B.example:8080", "/anything").Name).To(Equal("other"))
+	g.Expect(table.Match("a.example", "/x")).To(BeNil())
+	g.Expect(table.Match("c.example", "/x/1")).To(BeNil())
+	g.Expect(table.Match("B.example:8080", "/anything").Name).To(Equal("other"))
 }
 
 func TestKeysNameTheirTeam(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(table().Team("k2").Name).To(Equal("schools"))
-	g.Expect(table().Team("k3")).To(BeNil())
-	g.Expect(table().Team("")).To(BeNil())
+	g.Expect(newTable().Team("k2").Name).To(Equal("schools"))
+	g.Expect(newTable().Team("k3")).To(BeNil())
+	g.Expect(newTable().Team("")).To(BeNil())
 }
 
-// A kind that isn't known must never be repeated.
+// Guards against retrying requests of an unknown kind.
 func TestUnknownKindIsAnErrorAndTheZeroKindIsUnsafe(t *testing.T) {
 	g := NewWithT(t)
 	_, err := routing.ParseKind("eventual")
@@ -56,10 +56,10 @@
 		key := rapid.String().Draw(rt, "key")
 		first := r.ServiceFor(key)
 		if first != r.ServiceFor(key) {
-			rt.Fatal("a session moved")
+			rt.Fatal("requests with the same key went to different services")
 		}
 		if r.Split[0].Weight == 0 && first != "b" {
-			rt.Fatal("a service without weight got a request")
+			rt.Fatal("a service with weight 0 received a request")
 		}
 	})
 }
--- a/routing/table.go
+++ b/routing/table.go
@@ -8,8 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Table is a configuration made ready for lookups. It isn't changed once made
-// and may be read by many goroutines.
+// Table indexes a configuration for lookups. It is immutable and safe for concurrent use.
 type Table struct {
 	Config   *Config
 	hosts    map[string][]*Route
@@ -17,7 +16,7 @@
 	services map[string]*Service
 }
 
-// NewTable compiles a configuration.
+// NewTable returns a table for a configuration, which must not change afterwards.
 func NewTable(c *Config) *Table {
 	t := &Table{
 		Config:   c,
@@ -44,8 +43,8 @@
 	return t
 }
 
-// Match finds the route of a request by its Host header and its path as sent.
-// It returns nil if there is none.
+// Match returns the route for a Host header and a path as sent by the caller, or nil if there is
+// none. It ignores the port and the case of the host.
 func (t *Table) Match(host, path string) *Route {
 	if name, _, found := strings.Cut(host, ":"); found {
 		host = name
@@ -58,17 +57,17 @@
 	return nil
 }
 
-// Team finds the team that holds a key, nil if none does.
+// Team returns the team with an API key, or nil if there is none.
 func (t *Table) Team(key string) *Team { return t.teams[key] }
 
-// RequiresKey reports whether requests need a key unless their route is public.
+// RequiresKey reports whether requests of routes that aren't public need an API key.
 func (t *Table) RequiresKey() bool { return len(t.Config.Teams) > 0 }
 
-// Service finds a service by its name, nil if there is none.
+// Service returns the service with the given name, or nil if there is none.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// ServiceFor picks the service of a request. Requests with the same key, such
-// as those of a session, go to the same service while the weights stay.
+// ServiceFor returns the service for a request, or "" if no service has a weight. Requests with
+// the same key, such as those of a session, go to the same service until the weights change.
 func (r *Route) ServiceFor(key string) string {
 	total := 0
 	for _, s := range r.Split {
@@ -77,12 +76,12 @@
 	if total <= 0 {
 		return ""
 	}
-	at := int(xxhash.Sum64String(key) % uint64(total))
+	position := int(xxhash.Sum64String(key) % uint64(total))
 	for _, s := range r.Split {
-		if at < s.Weight {
+		if position < s.Weight {
 			return s.Service
 		}
-		at -= s.Weight
+		position -= s.Weight
 	}
 	return ""
 }
--- a/warmup/limit.go
+++ b/warmup/limit.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Limit describes how upstreams of a service warm up. The zero value means that they need no
-// warm-up.
+// Limit is the limit on requests to upstreams of a service while they warm up. The zero value
+// means that they need no warm-up.
 type Limit struct {
 	// Duration is how long an upstream warms up after its start.
 	Duration time.Duration
-	// PerSecond is the rate of requests that it tolerates meanwhile.
+	// PerSecond is the number of requests per second that it tolerates during this time.
 	PerSecond float64
 }
 
--- a/warmup/warmup_test.go
+++ b/warmup/warmup_test.go
@@ -12,9 +12,9 @@
 	"github.com/aspenswitch/aspenswitch/warmup"
 )
 
-// mostInASecond returns the largest number of granted requests that can arrive within one second
-// when each arrives up to GrantTTL after its grant.
-func mostInASecond(grants []time.Duration) int {
+// maxArrivalsPerSecond returns the largest number of granted requests that can arrive within one
+// second if each arrives up to GrantTTL after its grant.
+func maxArrivalsPerSecond(grants []time.Duration) int {
 	slices.SortFunc(grants, cmp.Compare[time.Duration])
 	most, first := 0, 0
 	for i := range grants {
@@ -26,13 +26,13 @@
 	return most
 }
 
-// grantAll grants whatever a home's bucket allows during a span.
+// grantAll returns the grants of a home that grants as many requests as its bucket allows.
 func grantAll(rate float64, from, to time.Duration) (grants []time.Duration) {
 	bucket := warmup.Bucket{Rate: rate}
-	for at := from; at < to; at += time.Millisecond {
-		if bucket.Available(at) {
-			bucket.Take(at)
-			grants = append(grants, at)
+	for now := from; now < to; now += time.Millisecond {
+		if bucket.Available(now) {
+			bucket.Take(now)
+			grants = append(grants, now)
 		}
 	}
 	return grants
@@ -55,35 +55,36 @@
 				now += time.Duration(rapid.Int64Range(0, int64(200*time.Millisecond)).Draw(rt, "pause"))
 			}
 		}
-		if most := mostInASecond(grants); most > policy.Bound(limit) {
+		if most := maxArrivalsPerSecond(grants); most > policy.Bound(limit) {
 			rt.Fatalf("%d arrivals in a second, bound %d", most, policy.Bound(limit))
 		}
 	})
 }
 
-// Guards against successors that know nothing of what their predecessors granted.
+// Guards against exceeding the bound when a home changes, because the new home has no record of
+// the requests that its predecessor granted.
 func TestSuccessorsStayWithinTheBound(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		// Each home's part of the bound is a whole number, so that the bound is tight.
-		part := rapid.IntRange(2, 100).Draw(rt, "part")
-		limit := warmup.Limit{Duration: 5 * time.Second, PerSecond: float64(2 * part)}
+		// Each home's perHome of the bound is a whole number, so that the bound is tight.
+		perHome := rapid.IntRange(2, 100).Draw(rt, "part")
+		limit := warmup.Limit{Duration: 5 * time.Second, PerSecond: float64(2 * perHome)}
 		policy := warmup.Policy{Overage: 1}
 		rate := policy.Rate(limit)
 		end := 6 * time.Second
-		// A router takes itself for the home all the time, beside homes that follow each other.
+		// One router acts as the home all the time, concurrently with homes that succeed each other.
 		grants := grantAll(rate, 0, end)
-		for since := time.Duration(0); since < end; {
-			until := since + time.Duration(rapid.Int64Range(int64(time.Millisecond), int64(2*time.Second)).Draw(rt, "home"))
-			grants = append(grants, grantAll(rate, since+warmup.TakeoverDelay, until)...)
-			since = until
+		for homeSince := time.Duration(0); homeSince < end; {
+			homeUntil := homeSince + time.Duration(rapid.Int64Range(int64(time.Millisecond), int64(2*time.Second)).Draw(rt, "home"))
+			grants = append(grants, grantAll(rate, homeSince+warmup.TakeoverDelay, homeUntil)...)
+			homeSince = homeUntil
 		}
-		if most := mostInASecond(grants); most > policy.Bound(limit) {
+		if most := maxArrivalsPerSecond(grants); most > policy.Bound(limit) {
 			rt.Fatalf("%d arrivals in a second, bound %d", most, policy.Bound(limit))
 		}
 	})
 }
 
-// Guards against a division by zero and a burst beyond a bound that leaves no room.
+// Guards against a division by zero, and against granting a burst that exceeds a small bound.
 func TestBoundWithoutRoomGrantsNothing(t *testing.T) {
 	g := NewWithT(t)
 	for _, limit := range []warmup.Limit{{}, {PerSecond: 5}, {Duration: time.Second}, {Duration: -1, PerSecond: -1}} {
