--- a/limits/shedder_test.go
+++ b/limits/shedder_test.go
@@ -150,7 +150,7 @@
 	g := NewWithT(t)
 	s := limits.NewShedder(limits.DefaultShedConfig())
 	now := time.Second
-	at := func(team string, lag time.Duration) limits.ShedReason {
+	check := func(team string, lag time.Duration) limits.ShedReason {
 		a := newArrival(team)
 		a.Lag = lag
 		return s.Check(now, a).Reason
@@ -161,15 +161,15 @@
 		if i%10 == 0 {
 			team = "small" + string(rune('a'+i/10%5))
 		}
-		at(team, 0)
+		check(team, 0)
 	}
-	behind := limits.DefaultShedConfig().LagThreshold
-	g.Expect(at("flood", behind)).To(Equal(limits.Busy))
-	g.Expect(at("smalla", behind)).To(Equal(limits.NotShed))
-	g.Expect(at("flood", 0)).To(Equal(limits.NotShed))
+	lagThreshold := limits.DefaultShedConfig().LagThreshold
+	g.Expect(check("flood", lagThreshold)).To(Equal(limits.Busy))
+	g.Expect(check("smalla", lagThreshold)).To(Equal(limits.NotShed))
+	g.Expect(check("flood", 0)).To(Equal(limits.NotShed))
 	now += 10 * time.Second
-	at("smallb", behind)
-	g.Expect(at("flood", behind)).To(Equal(limits.Busy), "half of the recent requests")
+	check("smallb", lagThreshold)
+	g.Expect(check("flood", lagThreshold)).To(Equal(limits.Busy), "half of the recent requests")
 }
 
 // Guards against a lagging router that sheds all requests of a heavy team.
@@ -188,10 +188,10 @@
 		return n / seconds
 	}
 	g := NewWithT(t)
-	behind := limits.DefaultShedConfig().LagThreshold
-	g.Expect(requested(behind - time.Millisecond)).To(Equal(perSecond))
-	g.Expect(requested(behind)).To(BeNumerically("~", perSecond/4, perSecond/50))
-	g.Expect(requested(2 * behind)).To(BeNumerically("~", perSecond/16, perSecond/50))
+	lagThreshold := limits.DefaultShedConfig().LagThreshold
+	g.Expect(requested(lagThreshold - time.Millisecond)).To(Equal(perSecond))
+	g.Expect(requested(lagThreshold)).To(BeNumerically("~", perSecond/4, perSecond/50))
+	g.Expect(requested(2 * lagThreshold)).To(BeNumerically("~", perSecond/16, perSecond/50))
 	g.Expect(requested(limits.DefaultShedConfig().MaxStreamLag + time.Millisecond)).To(BeZero())
 }
 
--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -6,7 +6,7 @@
 	"github.com/aspenswitch/aspenswitch/quarantine"
 )
 
-// BenchmarkNewContentID measures what each successful request pays.
+// BenchmarkNewContentID measures the time that each successful request spends on its content ID.
 func BenchmarkNewContentID(b *testing.B) {
 	body := make([]byte, 18000)
 	for b.Loop() {
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -89,8 +89,8 @@
 	clear(r.tombstones)
 }
 
-// Lapse marks an entry as missing. It is removed after the given time unless Put restores it
-// before. Lapsing an entry again doesn't extend the time.
+// Lapse marks an entry as missing. Expire removes it after the given time unless Put restores it
+// first. Lapsing an entry again doesn't extend the time.
 func (r *Registry) Lapse(id string, until boottime.Time) {
 	if _, known := r.entries[id]; !known {
 		return
--- a/warmup/bucket.go
+++ b/warmup/bucket.go
@@ -8,7 +8,7 @@
 type Bucket struct {
 	// Rate is in requests per second. A Bucket with Rate 0 grants nothing.
 	Rate float64
-	// used is the number of requests that had not been refilled at updatedAt.
+	// used is the number of tokens that were taken and not yet refilled at updatedAt.
 	used      float64
 	updatedAt time.Duration
 }
