--- a/fairness/accounts.go
+++ b/fairness/accounts.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-// costWindow is the weight of one more request in the learned mean cost: an
-// exponential average over the last few hundred. Shorter windows follow the noise of heavy-tailed costs, and routers' keys drift apart.
-const costWindow = 0.002
+// costWeight is the weight of a new sample in the exponential moving average of
+// the cost, which covers the last few hundred requests. A shorter window follows
+// the noise of heavy-tailed costs, and the routers' keys drift apart.
+const costWeight = 0.002
 
 // account is one team in one pool.
 type account struct {
@@ -17,46 +18,50 @@
 	share float64
 	// base is the service of incarnations that have ended.
 	base float64
-	// lift is credit that takes a returning or lagging team to the floor. It is
-	// merged over routers by maximum, so two routers that lift at once don't add up.
+	// lift is credit that raises a returning or lagging team to the floor.
+	// Routers merge it by maximum, so that the lifts of two routers at the same
+	// time don't add up.
 	lift float64
-	// lag is how far the team was behind the floor when it last ceased to wait here.
+	// lag is how far the team was behind the floor when its queue here last
+	// emptied.
 	lag float64
 	own Usage
-	// pending is the sum over own running requests of when each started, in
-	// seconds since the epoch of Accounts. It gives the time that all of them
-	// have run in one subtraction.
-	pending float64
-	// sent is what the peers were last told.
-	sent     view
-	sentLift float64
-	// asked is for how many waiting requests the peers were told, less those that
-	// slots came for since.
-	asked int
+	// startSum is the sum of the start times of the running requests at this
+	// router, in seconds since the epoch of Accounts. It gives the total time
+	// that they have run in one subtraction.
+	startSum float64
+	// lastReport is what was last reported to the peers.
+	lastReport   reportedUsage
+	reportedLift float64
+	// advertised is the number of waiting requests last reported to the peers,
+	// lowered to the current queue length when slots arrive.
+	advertised int
 }
 
-// Accounts is the fleet's service by team in one pool, as one router sees it.
+// Accounts holds the fleet's service by team in one pool, as one router sees it.
 //
-// Invariant: a team's total is base plus the router's own service plus one view
-// for each other router, and no incarnation's service is in two of these.
+// Invariant: a team's total is base plus the router's own service plus one
+// report for each other router, and the service of each incarnation is counted
+// in exactly one of these.
 type Accounts struct {
-	cfg   Config
-	teams map[TeamID]*account
-	order []*account
-	// peers are sorted by name, so that sums add up alike in every run.
+	cfg    Config
+	teams  map[TeamID]*account
+	sorted []*account
+	// peers are sorted by name, so that floating-point sums are the same in
+	// every run.
 	peers []*peer
 	// meanCost is learned from requests that ended here, in slot seconds.
 	meanCost float64
-	learned  int
-	// virtualTime is the level of the team served last, as in start-time fair
-	// queueing.
+	samples  int
+	// virtualTime is the highest normalized service of any team that was served,
+	// as in start-time fair queueing.
 	virtualTime float64
-	// epoch is the time that pending sums count from.
+	// epoch is the reference time of startSum.
 	epoch time.Time
 }
 
-// NewAccounts returns empty accounts. meanCost (slot seconds) holds until
-// requests have ended.
+// NewAccounts returns empty accounts. meanCost, in slot seconds, is the initial
+// estimate of the cost of a request.
 func NewAccounts(cfg Config, meanCost float64) *Accounts {
 	return &Accounts{
 		cfg:      cfg,
@@ -65,7 +70,7 @@
 	}
 }
 
-// SetShare adds a team or changes what it is owed. Shares must be positive.
+// SetShare adds a team or changes its share. Shares must be positive.
 func (a *Accounts) SetShare(id TeamID, share float64) {
 	if acc, ok := a.teams[id]; ok {
 		acc.share = share
@@ -73,22 +78,22 @@
 	}
 	acc := &account{id: id, share: share}
 	a.teams[id] = acc
-	a.order = append(a.order, acc)
-	slices.SortFunc(a.order, func(x, y *account) int { return int(x.id - y.id) })
+	a.sorted = append(a.sorted, acc)
+	slices.SortFunc(a.sorted, func(x, y *account) int { return int(x.id - y.id) })
 }
 
-// MeanCost is the learned cost of a request, in slot seconds.
+// MeanCost returns the learned mean cost of a request, in slot seconds.
 func (a *Accounts) MeanCost() float64 { return a.meanCost }
 
-// residual is what a running request is charged ahead, in slot seconds.
-func (a *Accounts) residual() float64 { return a.cfg.PrechargeRatio * a.meanCost }
+// precharge is the charge in advance for a running request, in slot seconds.
+func (a *Accounts) precharge() float64 { return a.cfg.PrechargeRatio * a.meanCost }
 
-// Start notes that a request was sent to an upstream.
+// Start records that a request was sent to an upstream.
 func (a *Accounts) Start(now time.Time, id TeamID) {
 	acc := a.teams[id]
-	a.virtualTime = max(a.virtualTime, a.level(now, acc))
+	a.virtualTime = max(a.virtualTime, a.normalizedService(now, acc))
 	acc.own.Running++
-	acc.pending += a.seconds(now)
+	acc.startSum += a.sinceEpoch(now)
 }
 
 // End charges a request that ended for the time it held its slot.
@@ -96,67 +101,71 @@
 	acc := a.teams[id]
 	acc.own.Service += now.Sub(started).Seconds()
 	acc.own.Running--
-	acc.pending -= a.seconds(started)
+	acc.startSum -= a.sinceEpoch(started)
 }
 
-// ObserveCost takes a whole request into the mean cost. The first requests weigh more,
-// so that an assumed mean that is far off is soon forgotten.
-func (a *Accounts) ObserveCost(took time.Duration) {
-	a.learned++
-	weight := max(costWindow, 1/float64(a.learned+1))
-	a.meanCost += weight * (took.Seconds() - a.meanCost)
+// ObserveCost adds the duration of a completed request to the mean cost. The
+// first requests have a higher weight, so that a wrong initial estimate is soon
+// corrected.
+func (a *Accounts) ObserveCost(duration time.Duration) {
+	a.samples++
+	weight := max(costWeight, 1/float64(a.samples+1))
+	a.meanCost += weight * (duration.Seconds() - a.meanCost)
 }
 
-// seconds is the time since the epoch, which begins with the first request.
-func (a *Accounts) seconds(now time.Time) float64 {
+// sinceEpoch returns the seconds since the epoch, which the first call sets to
+// now.
+func (a *Accounts) sinceEpoch(now time.Time) float64 {
 	if a.epoch.IsZero() {
 		a.epoch = now
 	}
 	return now.Sub(a.epoch).Seconds()
 }
 
-// ownService is the own service including what runs.
+// ownService is this router's service to the team, including that of running
+// requests.
 func (a *Accounts) ownService(now time.Time, acc *account) float64 {
-	uncharged := float64(acc.own.Running)*a.seconds(now) - acc.pending
+	uncharged := float64(acc.own.Running)*a.sinceEpoch(now) - acc.startSum
 	return acc.own.Service + max(uncharged, 0)
 }
 
-// level is the team's weighted service over the fleet, lifts included. Levels of
-// teams that wait are what fairness keeps together.
-func (a *Accounts) level(now time.Time, acc *account) float64 {
-	sum, _ := a.sum(now, acc)
-	return sum / acc.share
+// normalizedService is the team's service over the fleet, lift included, divided
+// by its share. The scheduler keeps it nearly equal among backlogged teams.
+func (a *Accounts) normalizedService(now time.Time, acc *account) float64 {
+	service, _ := a.fleetTotals(now, acc)
+	return service / acc.share
 }
 
-// key is the level with the running requests charged ahead: the least goes next.
-// Charging ahead is what keeps a team that is behind from taking every slot
-// until its charges catch up.
+// key is the normalized service with running requests charged in advance; the
+// team with the lowest key is served next. Without the precharge, a team that is
+// behind would take every slot until its charges catch up.
 func (a *Accounts) key(now time.Time, acc *account) float64 {
-	sum, running := a.sum(now, acc)
-	return (sum + float64(running)*a.residual()) / acc.share
+	service, running := a.fleetTotals(now, acc)
+	return (service + float64(running)*a.precharge()) / acc.share
 }
 
-// sum adds the team's service and running requests over the fleet.
-func (a *Accounts) sum(now time.Time, acc *account) (service float64, running int) {
+// fleetTotals returns the team's service and running requests over the fleet.
+func (a *Accounts) fleetTotals(now time.Time, acc *account) (service float64, running int) {
 	service = acc.base + acc.lift + a.ownService(now, acc)
 	running = acc.own.Running
 	for _, p := range a.peers {
-		v, ok := p.views[acc.id]
+		r, ok := p.reports[acc.id]
 		if !ok {
 			continue
 		}
-		if p.gone {
-			service += v.tally.Service
+		if p.unreachable {
+			service += r.usage.Service
 			continue
 		}
-		service += v.service(now, a.cfg.MaxExtrapolation)
-		running += v.tally.Running + min(v.assumed, v.tally.Waiting)
+		service += r.serviceAt(now, a.cfg.MaxExtrapolation)
+		running += r.usage.Running + min(r.assumedGrants, r.usage.Waiting)
 	}
 	return service, running
 }
 
-// Key is the team's weighted service over the fleet in slot seconds per unit
-// of share. It is infinite for a team that is not in the bundle.
+// Key returns the team's scheduling key, its weighted service over the fleet in
+// slot seconds per unit of share. It is infinite for a team that is not in the
+// bundle.
 func (a *Accounts) Key(now time.Time, id TeamID) float64 {
 	acc, ok := a.teams[id]
 	if !ok {
@@ -165,8 +174,8 @@
 	return a.key(now, acc)
 }
 
-// peerNamed finds the views of a router.
-func (a *Accounts) peerNamed(name string) (*peer, bool) {
+// findPeer returns the reports of a router.
+func (a *Accounts) findPeer(name string) (*peer, bool) {
 	i, ok := slices.BinarySearchFunc(a.peers, name, func(p *peer, name string) int {
 		return strings.Compare(p.name, name)
 	})
@@ -176,15 +185,16 @@
 	return a.peers[i], true
 }
 
-// remoteWaiting is the number of the team's requests that wait at other routers.
+// remoteWaiting returns the number of the team's requests that wait at other
+// routers.
 func (a *Accounts) remoteWaiting(id TeamID) int {
 	n := 0
 	for _, p := range a.peers {
-		if p.gone {
+		if p.unreachable {
 			continue
 		}
-		if v, ok := p.views[id]; ok {
-			n += v.waiting()
+		if r, ok := p.reports[id]; ok {
+			n += r.waiting()
 		}
 	}
 	return n
--- a/fairness/dump.go
+++ b/fairness/dump.go
@@ -9,8 +9,8 @@
 	Service float64 `json:"serviceSeconds"`
 	Key     float64 `json:"key"`
 	Lift    float64 `json:"liftSeconds"`
-	// Waiting and Running count over the fleet, as far as this router knows;
-	// OwnWaiting and OwnRunning here.
+	// Waiting and Running are the last known counts over the fleet; OwnWaiting
+	// and OwnRunning are those of this router.
 	Waiting    int `json:"waiting"`
 	Running    int `json:"running"`
 	OwnWaiting int `json:"ownWaiting"`
@@ -20,7 +20,7 @@
 // Dump returns every team's account at now.
 func (a *Accounts) Dump(now time.Time) []TeamDump {
 	var all []TeamDump
-	for _, acc := range a.order {
+	for _, acc := range a.sorted {
 		d := TeamDump{
 			Team: acc.id, Key: a.key(now, acc), Lift: acc.lift,
 			Service: acc.base + a.ownService(now, acc),
@@ -28,14 +28,14 @@
 			OwnWaiting: acc.own.Waiting, OwnRunning: acc.own.Running,
 		}
 		for _, p := range a.peers {
-			v, ok := p.views[acc.id]
+			r, ok := p.reports[acc.id]
 			if !ok {
 				continue
 			}
-			d.Service += v.tally.Service
-			if !p.gone {
-				d.Waiting += v.tally.Waiting
-				d.Running += v.tally.Running
+			d.Service += r.usage.Service
+			if !p.unreachable {
+				d.Waiting += r.usage.Waiting
+				d.Running += r.usage.Running
 			}
 		}
 		all = append(all, d)
--- a/fairness/fairness_test.go
+++ b/fairness/fairness_test.go
@@ -22,8 +22,8 @@
 	return a
 }
 
-// A team was idle while another was served for an hour. When it comes back it
-// goes next once, and then takes turns: idle time is no credit to spend.
+// A team is idle while another is served. When it becomes backlogged it must not
+// be served alone to catch up: after one first turn, both teams alternate.
 func TestIdleTimeIsNoCredit(t *testing.T) {
 	g := NewWithT(t)
 	a := accounts(1, 1)
@@ -31,9 +31,9 @@
 	serve := func() fairness.TeamID {
 		c, _ := a.NextLocal(now)
 		a.Start(now, c.Team)
-		began := now
+		started := now
 		now = now.Add(time.Second)
-		a.End(now, c.Team, began)
+		a.End(now, c.Team, started)
 		return c.Team
 	}
 	a.Activate(now, 1)
@@ -50,8 +50,8 @@
 	g.Expect(turns[1]).To(BeNumerically("~", 10, 1))
 }
 
-// A team that is behind empties its queue for a moment. What it was owed stays
-// owed; without that its gap would grow each time.
+// The queue of a team that is behind empties for a moment. The team must stay
+// owed the same service; otherwise its gap grows each time this happens.
 func TestMomentWithoutQueueKeepsWhatIsOwed(t *testing.T) {
 	g := NewWithT(t)
 	a := accounts(1, 1)
@@ -70,8 +70,9 @@
 	g.Expect(a.Key(now, 2) - a.Key(now, 1)).To(BeNumerically("~", owed, 1e-9))
 }
 
-// Two parts of the fleet rejoin and find one team far ahead. The one behind is
-// lifted to a bounded distance, so that the other is not shut out to repay.
+// After a partition heals, one team is far ahead of another. The one behind must
+// be lifted to within MaxLag, so that the other is not starved until the gap is
+// repaid.
 func TestGapOfAPartitionIsForgivenBeyondABound(t *testing.T) {
 	g := NewWithT(t)
 	a := accounts(1, 1)
@@ -84,8 +85,8 @@
 	g.Expect(a.Key(start, 2) - a.Key(start, 1)).To(BeNumerically("~", fairness.DefaultConfig().MaxLag, 1e-6))
 }
 
-// A router restarts: its new incarnation reports from zero. The service of the
-// old one still counts, once.
+// A router restarts and its new incarnation reports from zero. The service of
+// the old incarnation must still count, exactly once.
 func TestNewIncarnationKeepsTheOldService(t *testing.T) {
 	g := NewWithT(t)
 	a := accounts(1)
@@ -100,8 +101,8 @@
 	g.Expect(a.Key(start, 1)).To(Equal(57.0))
 }
 
-// A router falls silent with requests running. Its teams are charged on for a
-// while and no longer: nobody knows whether they still run.
+// A router falls silent with requests running. Its teams must be charged for
+// MaxExtrapolation and no longer, since the requests may have ended.
 func TestSilentRoutersRateIsAssumedForABoundedTime(t *testing.T) {
 	g := NewWithT(t)
 	a := accounts(1)
@@ -112,8 +113,8 @@
 	g.Expect(a.Key(start.Add(time.Hour), 1)).To(BeNumerically("~", 10+2*limit.Seconds()+residual, 1e-9))
 }
 
-// Reports reach two routers in different orders, some twice. Both end with the
-// same keys.
+// Reports reach two routers in different orders, some of them twice. Both
+// routers must compute the same keys.
 func TestMergesCommuteAndRepeat(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type message struct {
@@ -134,15 +135,15 @@
 			}
 			return a.Key(start, 1)
 		}
-		doubled := append(rapid.Permutation(all).Draw(t, "order"), rapid.SampledFrom(all).Draw(t, "again"))
-		if x, y := merge(all), merge(doubled); math.Abs(x-y) > 1e-9 {
+		duplicated := append(rapid.Permutation(all).Draw(t, "order"), rapid.SampledFrom(all).Draw(t, "again"))
+		if x, y := merge(all), merge(duplicated); math.Abs(x-y) > 1e-9 {
 			t.Fatalf("keys %g and %g", x, y)
 		}
 	})
 }
 
-// What peers believe between reports never errs by more than the bound: that is
-// what the fairness bound of the fleet is made of.
+// Between reports, the extrapolation of peers must not be off by more than
+// ReportError: the fairness bound of the fleet depends on it.
 func TestPeersErrByAtMostTheReportError(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := fairness.DefaultConfig()
--- a/fairness/next.go
+++ b/fairness/next.go
@@ -5,21 +5,22 @@
 	"time"
 )
 
-// Candidate is a team that has requests waiting somewhere.
+// Candidate is a backlogged team that may be served next.
 type Candidate struct {
 	Team TeamID
-	// Router is where the requests wait; empty for this router.
+	// Router is the router where the requests wait; empty for this router.
 	Router string
 	Key    float64
-	// Waiting counts the requests that wait there.
+	// Waiting is the number of requests that wait there.
 	Waiting int
 }
 
-// NextLocal returns the team to serve next of those waiting here.
+// NextLocal returns the team with the lowest key among those with requests
+// waiting at this router.
 func (a *Accounts) NextLocal(now time.Time) (Candidate, bool) {
 	best := Candidate{Key: math.Inf(1)}
 	found := false
-	for _, acc := range a.order {
+	for _, acc := range a.sorted {
 		if acc.own.Waiting == 0 {
 			continue
 		}
@@ -31,12 +32,13 @@
 	return best, found
 }
 
-// NextRemote returns the least served team that waits at another router.
-// Requests that a slot was already given up for don't count.
+// NextRemote returns the team with the lowest key among those with requests
+// waiting at other routers. Requests that a slot was already given up for don't
+// count.
 func (a *Accounts) NextRemote(now time.Time) (Candidate, bool) {
 	best := Candidate{Key: math.Inf(1)}
 	found := false
-	for _, acc := range a.order {
+	for _, acc := range a.sorted {
 		waiting := a.remoteWaiting(acc.id)
 		if waiting == 0 {
 			continue
@@ -51,63 +53,63 @@
 	return best, found
 }
 
-// longestQueue is the live router with most waiting requests of the team; the
-// first by name where several are.
+// longestQueue returns the live router with the most waiting requests of the
+// team; ties go to the first router by name.
 func (a *Accounts) longestQueue(id TeamID) string {
 	router, most := "", 0
 	for _, p := range a.peers {
-		v, ok := p.views[id]
-		if p.gone || !ok {
+		r, ok := p.reports[id]
+		if p.unreachable || !ok {
 			continue
 		}
-		w := v.waiting()
-		if w > most {
-			router, most = p.name, w
+		n := r.waiting()
+		if n > most {
+			router, most = p.name, n
 		}
 	}
 	return router
 }
 
-// AssumeGranted notes that n slots were given up for the team's requests that wait at
-// router, until its next report tells what came of it.
+// AssumeGranted records that n slots were given up for the team's requests
+// waiting at router. The record holds until that router's next report.
 func (a *Accounts) AssumeGranted(router string, id TeamID, n int) {
-	if p, ok := a.peerNamed(router); ok {
-		if v, ok := p.views[id]; ok {
-			v.assumed += n
+	if p, ok := a.findPeer(router); ok {
+		if r, ok := p.reports[id]; ok {
+			r.assumedGrants += n
 		}
 	}
 }
 
-// Outstanding is the number of requests that run and wait at a router, as far as is
-// known; "" names this one.
+// Outstanding returns the last known number of running and waiting requests at a
+// router; "" is this router.
 func (a *Accounts) Outstanding(router string) int {
 	n := 0
 	if router == "" {
-		for _, acc := range a.order {
+		for _, acc := range a.sorted {
 			n += acc.own.Running + acc.own.Waiting
 		}
 		return n
 	}
-	if p, ok := a.peerNamed(router); ok && !p.gone {
-		for _, v := range p.views {
-			n += v.tally.Running + v.tally.Waiting
+	if p, ok := a.findPeer(router); ok && !p.unreachable {
+		for _, r := range p.reports {
+			n += r.usage.Running + r.usage.Waiting
 		}
 	}
 	return n
 }
 
-// AllPeersBacklogged reports whether every live peer has waiting requests of its own
-// and so, by the scheduler's invariant, no idle slot to give.
+// AllPeersBacklogged reports whether every live peer has waiting requests of its
+// own and so, by the scheduler's invariant, no idle slot to return.
 func (a *Accounts) AllPeersBacklogged() bool {
 	for _, p := range a.peers {
-		if p.gone {
+		if p.unreachable {
 			continue
 		}
-		waits := false
-		for _, v := range p.views {
-			waits = waits || v.waiting() > 0
+		backlogged := false
+		for _, r := range p.reports {
+			backlogged = backlogged || r.waiting() > 0
 		}
-		if !waits {
+		if !backlogged {
 			return false
 		}
 	}
--- a/fairness/peer.go
+++ b/fairness/peer.go
@@ -4,8 +4,8 @@
 type peer struct {
 	name        string
 	incarnation uint64
-	// gone is set while the router is not live: its service still counts, its
-	// running and waiting requests don't.
-	gone  bool
-	views map[TeamID]*view
+	// unreachable is set while the router is not live: its service still counts,
+	// its running and waiting requests don't.
+	unreachable bool
+	reports     map[TeamID]*reportedUsage
 }
--- a/fairness/queue.go
+++ b/fairness/queue.go
@@ -1,7 +1,7 @@
 package fairness
 
-// Queue holds one pool's waiting requests at one router, first come first
-// served within a team. T identifies a request.
+// Queue holds one pool's waiting requests at one router, in FIFO order within a
+// team. T identifies a request.
 type Queue[T comparable] struct {
 	teams map[TeamID][]T
 	len   int
@@ -16,12 +16,13 @@
 	q.len++
 }
 
-// Pop takes the team's oldest request.
+// Pop removes and returns the team's oldest request. It returns false if the
+// team has none.
 func (q *Queue[T]) Pop(id TeamID) (T, bool) {
 	waiting := q.teams[id]
 	if len(waiting) == 0 {
-		var none T
-		return none, false
+		var zero T
+		return zero, false
 	}
 	r := waiting[0]
 	q.set(id, waiting[1:])
@@ -29,7 +30,8 @@
 	return r, true
 }
 
-// Remove takes a request out wherever it stands, for a caller that left.
+// Remove deletes a request from any position of the team's queue, for a caller
+// that disconnected. It returns false if the request is not queued.
 func (q *Queue[T]) Remove(id TeamID, r T) bool {
 	waiting := q.teams[id]
 	for i, other := range waiting {
@@ -51,11 +53,11 @@
 	q.teams[id] = waiting
 }
 
-// Waiting counts the team's requests.
+// Waiting returns the number of the team's requests.
 func (q *Queue[T]) Waiting(id TeamID) int { return len(q.teams[id]) }
 
-// Len counts all requests.
+// Len returns the number of all requests.
 func (q *Queue[T]) Len() int { return q.len }
 
-// Teams counts the teams with waiting requests.
+// Teams returns the number of teams with waiting requests.
 func (q *Queue[T]) Teams() int { return len(q.teams) }
--- a/fairness/report.go
+++ b/fairness/report.go
@@ -12,7 +12,7 @@
 )
 
 // Entry is one team's part of a report. On the wire it is an array of numbers:
-// team, service, running, waiting, lift; trailing zeros are left out.
+// team, service, running, waiting, lift; trailing zeros are omitted.
 type Entry struct {
 	Team TeamID
 	Usage
@@ -20,13 +20,13 @@
 }
 
 // serviceScale is the precision of service on the wire: hundredths of a slot
-// second, far below what a report may be off anyway.
+// second, far below the tolerated error of a report.
 const serviceScale = 100
 
-// entryFields is the number of array items of a whole Entry.
+// entryFields is the number of array items in an Entry without omitted zeros.
 const entryFields = 5
 
-// MarshalJSON writes the entry as an array.
+// MarshalJSON encodes the entry as an array.
 func (e Entry) MarshalJSON() ([]byte, error) {
 	fields := []int64{
 		int64(e.Team),
@@ -41,7 +41,7 @@
 	return json.Marshal(fields)
 }
 
-// UnmarshalJSON reads what MarshalJSON writes.
+// UnmarshalJSON decodes an array written by MarshalJSON.
 func (e *Entry) UnmarshalJSON(data []byte) error {
 	var fields []int64
 	if err := json.Unmarshal(data, &fields); err != nil {
@@ -66,110 +66,115 @@
 	return nil
 }
 
-// HasUnreportedLag reports whether a team waits here that the peers don't know of and that
-// is behind the best served waiting team by more than lag (slot seconds
-// per unit of share): a holder elsewhere would give up a slot for them. Others
-// get the next slot that falls idle here, and a report would bring them nothing.
+// HasUnreportedLag reports whether a team waits here that is not reported as
+// waiting to the peers and is more than lag (slot seconds per unit of share)
+// behind the best served waiting team: a holder elsewhere would give up a slot
+// for it. Other teams get the next slot that becomes idle here, and a report
+// would not help them.
 func (a *Accounts) HasUnreportedLag(now time.Time, lag float64) bool {
 	least, top := math.Inf(1), math.Inf(-1)
-	for _, acc := range a.order {
-		if !a.waits(acc) {
+	for _, acc := range a.sorted {
+		if !a.backlogged(acc) {
 			continue
 		}
 		key := a.key(now, acc)
 		top = max(top, key)
-		if acc.own.Waiting > 0 && acc.sent.tally.Waiting == 0 {
+		if acc.own.Waiting > 0 && acc.lastReport.usage.Waiting == 0 {
 			least = min(least, key)
 		}
 	}
 	return top-least > lag
 }
 
-// DueEntries returns the teams whose accounts have left the line that peers
-// extrapolate, with those that began or ceased to wait, and marks them as sent.
-// They must be sent to every peer. Where no account diverged, teams that only
-// began or ceased to wait are left for later unless force is set.
+// DueEntries returns the entries of teams whose accounts have deviated from the
+// extrapolation of the peers, and of teams that began or stopped waiting, and
+// records them as reported. The caller must send them to every peer. If no
+// account has diverged, teams that only began or stopped waiting are omitted
+// unless force is set.
 func (a *Accounts) DueEntries(now time.Time, force bool) []Entry {
-	if !force && !slices.ContainsFunc(a.order, func(acc *account) bool { return a.diverged(now, acc) }) {
+	if !force && !slices.ContainsFunc(a.sorted, func(acc *account) bool { return a.diverged(now, acc) }) {
 		return nil
 	}
 	var due []Entry
-	for _, acc := range a.order {
-		if a.diverged(now, acc) || acc.turned() || (force && acc.own.Waiting > acc.asked) {
-			due = append(due, a.report(now, acc))
+	for _, acc := range a.sorted {
+		if a.diverged(now, acc) || acc.backlogChanged() || (force && acc.own.Waiting > acc.advertised) {
+			due = append(due, a.recordReport(now, acc))
 		}
 	}
 	return due
 }
 
-// turned reports whether the team began or ceased to wait since the last report.
-func (acc *account) turned() bool {
-	return (acc.own.Waiting > 0) != (acc.sent.tally.Waiting > 0)
+// backlogChanged reports whether the team began or stopped waiting since the
+// last report.
+func (acc *account) backlogChanged() bool {
+	return (acc.own.Waiting > 0) != (acc.lastReport.usage.Waiting > 0)
 }
 
-// diverged reports whether peers would err by more than ReportError. That a
-// team waits or no longer does is told along with what diverged; see Stalled.
+// diverged reports whether the peers' extrapolation is off by more than
+// ReportError. Whether a team waits does not count here: that is reported along
+// with diverged accounts; see HasUnreportedLag.
 func (a *Accounts) diverged(now time.Time, acc *account) bool {
 	limit := a.cfg.ReportError * a.meanCost
-	if (acc.lift-acc.sentLift)/acc.share > limit {
+	if (acc.lift-acc.reportedLift)/acc.share > limit {
 		return true
 	}
-	// A running request that the peers don't know of will cost about a mean cost.
+	// A running request that was not reported will cost about the mean cost.
 	actual := a.ownService(now, acc) + float64(acc.own.Running)*a.meanCost
-	believed := acc.sent.service(now, a.cfg.MaxExtrapolation) + float64(acc.sent.tally.Running)*a.meanCost
-	return math.Abs(actual-believed)/acc.share > limit
+	extrapolated := acc.lastReport.serviceAt(now, a.cfg.MaxExtrapolation) + float64(acc.lastReport.usage.Running)*a.meanCost
+	return math.Abs(actual-extrapolated)/acc.share > limit
 }
 
-// HasUnadvertised reports whether more of the team's requests wait here than the peers
-// were asked to give up slots for.
+// HasUnadvertised reports whether more of the team's requests wait here than
+// were advertised to the peers as needing slots.
 func (a *Accounts) HasUnadvertised(id TeamID) bool {
 	acc := a.teams[id]
-	return acc.own.Waiting > acc.asked
+	return acc.own.Waiting > acc.advertised
 }
 
-// AnyUnadvertised reports whether Unasked is true of any team.
+// AnyUnadvertised reports whether HasUnadvertised is true of any team.
 func (a *Accounts) AnyUnadvertised() bool {
-	return slices.ContainsFunc(a.order, func(acc *account) bool { return acc.own.Waiting > acc.asked })
+	return slices.ContainsFunc(a.sorted, func(acc *account) bool { return acc.own.Waiting > acc.advertised })
 }
 
-// RecordGrants notes that slots came from elsewhere: who gave them up counts the
-// requests as provided for, so that what waits from now on must be asked for
-// anew.
+// RecordGrants lowers the advertised counts after slots arrived from other
+// routers. The routers that gave them up count those requests as provided for,
+// so any further waiting request must be advertised again.
 func (a *Accounts) RecordGrants() {
-	for _, acc := range a.order {
-		acc.asked = min(acc.asked, acc.own.Waiting)
+	for _, acc := range a.sorted {
+		acc.advertised = min(acc.advertised, acc.own.Waiting)
 	}
 }
 
-// WaitingReportOutdated reports whether the peers think that teams wait here while
-// none does.
+// WaitingReportOutdated reports whether the last reports say that teams wait
+// here while none does.
 func (a *Accounts) WaitingReportOutdated() bool {
-	believed := false
-	for _, acc := range a.order {
+	reported := false
+	for _, acc := range a.sorted {
 		if acc.own.Waiting > 0 {
 			return false
 		}
-		believed = believed || acc.sent.tally.Waiting > 0
+		reported = reported || acc.lastReport.usage.Waiting > 0
 	}
-	return believed
+	return reported
 }
 
-// report returns the team's entry and notes it as sent.
-func (a *Accounts) report(now time.Time, acc *account) Entry {
+// recordReport returns the team's entry and records it as reported.
+func (a *Accounts) recordReport(now time.Time, acc *account) Entry {
 	e := a.entry(now, acc)
-	acc.sent = view{tally: e.Usage, at: now}
-	acc.asked = e.Waiting
-	if e.Lift == acc.sentLift {
-		// Lifts merge by maximum, so one that was told need not be told again.
+	acc.lastReport = reportedUsage{usage: e.Usage, reportedAt: now}
+	acc.advertised = e.Waiting
+	if e.Lift == acc.reportedLift {
+		// Lifts merge by maximum, so an unchanged one need not be sent again.
 		e.Lift = 0
 		return e
 	}
-	acc.sentLift = e.Lift
+	acc.reportedLift = e.Lift
 	return e
 }
 
-// entry is the team's account as it goes on the wire. How many wait matters
-// roughly, and a power of two, rounded up, takes fewer bytes.
+// entry returns the team's account in wire form. The waiting count is only
+// needed approximately, so it is rounded up to a power of two, which takes fewer
+// bytes.
 func (a *Accounts) entry(now time.Time, acc *account) Entry {
 	e := Entry{Team: acc.id, Usage: acc.own, Lift: acc.lift}
 	e.Service = a.ownService(now, acc)
@@ -179,10 +184,10 @@
 	return e
 }
 
-// AllEntries returns an entry for every team with anything to tell.
+// AllEntries returns an entry for every team with a non-zero account.
 func (a *Accounts) AllEntries(now time.Time) []Entry {
 	var all []Entry
-	for _, acc := range a.order {
+	for _, acc := range a.sorted {
 		if acc.own != (Usage{}) || acc.lift > 0 {
 			all = append(all, a.entry(now, acc))
 		}
@@ -190,32 +195,33 @@
 	return all
 }
 
-// Merge takes in another router's report. Service and lift merge by maximum, so
-// reports may come twice; the caller drops those that come out of order.
+// Merge applies another router's report. Service and lift merge by maximum, so a
+// report may arrive twice; the caller must drop reports that arrive out of
+// order.
 func (a *Accounts) Merge(now time.Time, router string, incarnation uint64, entries []Entry) {
-	p := a.peerOf(router, incarnation)
-	p.gone = false
+	p := a.peerFor(router, incarnation)
+	p.unreachable = false
 	for _, e := range entries {
 		acc, ok := a.teams[e.Team]
 		if !ok {
 			continue
 		}
 		acc.lift = max(acc.lift, e.Lift)
-		v, ok := p.views[e.Team]
+		r, ok := p.reports[e.Team]
 		if !ok {
-			v = &view{}
-			p.views[e.Team] = v
+			r = &reportedUsage{}
+			p.reports[e.Team] = r
 		}
-		e.Service = max(e.Service, v.tally.Service)
-		*v = view{tally: e.Usage, at: now}
+		e.Service = max(e.Service, r.usage.Service)
+		*r = reportedUsage{usage: e.Usage, reportedAt: now}
 	}
 }
 
-// peerOf returns the views of the router's incarnation. The service of an
+// peerFor returns the reports of the router's incarnation. The service of an
 // earlier incarnation moves to the base, so that a restart neither resets a
-// team's account nor counts it twice.
-func (a *Accounts) peerOf(router string, incarnation uint64) *peer {
-	p, ok := a.peerNamed(router)
+// team's account nor counts its service twice.
+func (a *Accounts) peerFor(router string, incarnation uint64) *peer {
+	p, ok := a.findPeer(router)
 	if ok && p.incarnation == incarnation {
 		return p
 	}
@@ -226,22 +232,22 @@
 		a.peers = append(a.peers, p)
 		slices.SortFunc(a.peers, func(x, y *peer) int { return strings.Compare(x.name, y.name) })
 	}
-	*p = peer{name: router, incarnation: incarnation, views: map[TeamID]*view{}}
+	*p = peer{name: router, incarnation: incarnation, reports: map[TeamID]*reportedUsage{}}
 	return p
 }
 
-// fold moves a peer's service to the base.
+// fold adds a peer's service to the base.
 func (a *Accounts) fold(p *peer) {
-	for id, v := range p.views {
+	for id, r := range p.reports {
 		if acc, ok := a.teams[id]; ok {
-			acc.base += v.tally.Service
+			acc.base += r.usage.Service
 		}
 	}
 }
 
-// SetUnreachable tells whether a router is no longer live.
-func (a *Accounts) SetUnreachable(router string, gone bool) {
-	if p, ok := a.peerNamed(router); ok {
-		p.gone = gone
+// SetUnreachable marks a router as no longer live, or as live again.
+func (a *Accounts) SetUnreachable(router string, unreachable bool) {
+	if p, ok := a.findPeer(router); ok {
+		p.unreachable = unreachable
 	}
 }
--- a/fairness/snapshot.go
+++ b/fairness/snapshot.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Snapshot is everything a router knows of a pool's accounts. A router that
-// starts without memory takes one from its first peer.
+// Snapshot is a router's full state of a pool's accounts. A router that starts
+// without state loads one from the first peer that sends it.
 type Snapshot struct {
 	// Base is the service of ended incarnations, as entries without counts.
 	Base []Entry `json:"base,omitempty"`
-	// Peers are the other routers' reports.
+	// Peers are the last reports of the other routers.
 	Peers []PeerSnapshot `json:"peers,omitempty"`
 }
 
@@ -18,21 +18,22 @@
 	Entries     []Entry `json:"entries"`
 }
 
-// Snapshot returns what a newcomer needs to reach the same keys.
+// Snapshot returns the state that a joining router needs to compute the same
+// keys.
 func (a *Accounts) Snapshot(now time.Time) Snapshot {
 	var s Snapshot
-	for _, acc := range a.order {
+	for _, acc := range a.sorted {
 		if acc.base > 0 || acc.lift > 0 {
 			s.Base = append(s.Base, Entry{Team: acc.id, Usage: Usage{Service: acc.base}, Lift: acc.lift})
 		}
 	}
 	for _, p := range a.peers {
 		ps := PeerSnapshot{Router: p.name, Incarnation: p.incarnation}
-		for _, acc := range a.order {
-			if v, ok := p.views[acc.id]; ok {
-				tally := v.tally
-				tally.Service = v.service(now, a.cfg.MaxExtrapolation)
-				ps.Entries = append(ps.Entries, Entry{Team: acc.id, Usage: tally})
+		for _, acc := range a.sorted {
+			if r, ok := p.reports[acc.id]; ok {
+				usage := r.usage
+				usage.Service = r.serviceAt(now, a.cfg.MaxExtrapolation)
+				ps.Entries = append(ps.Entries, Entry{Team: acc.id, Usage: usage})
 			}
 		}
 		s.Peers = append(s.Peers, ps)
@@ -40,9 +41,9 @@
 	return s
 }
 
-// Restore takes in a snapshot at a router that has just started. self is the
-// router's own name: what an earlier incarnation of it did is in the base
-// already. Reports that came directly are newer and stay.
+// Restore applies a snapshot at a router that has just started. self is the
+// router's own name: the service of its earlier incarnations is already in the
+// base. Reports received directly are newer and take precedence.
 func (a *Accounts) Restore(now time.Time, self string, s Snapshot) {
 	for _, e := range s.Base {
 		if acc, ok := a.teams[e.Team]; ok {
@@ -51,7 +52,7 @@
 		}
 	}
 	for _, ps := range s.Peers {
-		if _, known := a.peerNamed(ps.Router); known || ps.Router == self {
+		if _, known := a.findPeer(ps.Router); known || ps.Router == self {
 			continue
 		}
 		a.Merge(now, ps.Router, ps.Incarnation, ps.Entries)
--- a/lease/holder.go
+++ b/lease/holder.go
@@ -18,7 +18,7 @@
 	returned        uint64
 	recalled        uint64
 	inUse           int
-	until           time.Time
+	expiry          time.Time
 }
 
 // NewHolder returns a holding without slots.
@@ -34,7 +34,7 @@
 func (h *Holder) Held() int { return int(h.granted - h.returned) }
 
 // LeaseExpiry is when the lease ends.
-func (h *Holder) LeaseExpiry() time.Time { return h.until }
+func (h *Holder) LeaseExpiry() time.Time { return h.expiry }
 
 // InUse is the number of requests on the upstream.
 func (h *Holder) InUse() int { return h.inUse }
@@ -45,7 +45,7 @@
 // otherwise send on a slot that the home has given to another router, and the
 // upstream would run more than its limit.
 func (h *Holder) Idle(now time.Time) int {
-	if !now.Before(h.until) {
+	if !now.Before(h.expiry) {
 		return 0
 	}
 	return max(h.Held()-h.inUse, 0)
@@ -74,11 +74,11 @@
 		return
 	}
 	h.home, h.homeIncarnation = home, incarnation
-	h.toClaim()
+	h.convertToClaim()
 }
 
-// toClaim leaves the term and keeps the slots as a claim.
-func (h *Holder) toClaim() {
+// convertToClaim leaves the term and keeps the slots as a claim.
+func (h *Holder) convertToClaim() {
 	h.granted = uint64(h.Held())
 	h.returned, h.recalled, h.term = 0, 0, 0
 }
@@ -90,7 +90,7 @@
 	}
 	if g.Term > h.term {
 		*h = Holder{upstream: h.upstream, home: h.home, homeIncarnation: h.homeIncarnation,
-			term: g.Term, granted: g.Granted, recalled: g.Recalled, inUse: h.inUse, until: h.until}
+			term: g.Term, granted: g.Granted, recalled: g.Recalled, inUse: h.inUse, expiry: h.expiry}
 		return true
 	}
 	if g.Granted <= h.granted && g.Recalled <= h.recalled {
@@ -107,18 +107,18 @@
 // Extend sets the end of the lease after an acknowledged message that was sent
 // one lease time before until.
 func (h *Holder) Extend(until time.Time) {
-	if h.term != 0 && until.After(h.until) {
-		h.until = until
+	if h.term != 0 && until.After(h.expiry) {
+		h.expiry = until
 	}
 }
 
 // Expire gives up slots whose lease has ended. Requests that run go on and are
 // claimed, so that the home counts them again.
 func (h *Holder) Expire(now time.Time) bool {
-	if now.Before(h.until) || h.Held() == 0 {
+	if now.Before(h.expiry) || h.Held() == 0 {
 		return false
 	}
-	h.toClaim()
+	h.convertToClaim()
 	h.granted = uint64(h.inUse)
 	return true
 }
--- a/lease/table.go
+++ b/lease/table.go
@@ -31,7 +31,7 @@
 	granted     uint64
 	returned    uint64
 	recalled    uint64
-	until       time.Time
+	expiry      time.Time
 }
 
 func (h *holderRecord) held() int { return int(h.granted - h.returned) }
@@ -43,8 +43,8 @@
 type Table struct {
 	upstream int
 	limit    int
-	// opensAt is when slots that nobody claimed count as free.
-	opensAt  time.Time
+	// graceEnd is when slots that nobody claimed count as free.
+	graceEnd time.Time
 	lastTerm uint64
 	holders  map[string]*holderRecord
 }
@@ -56,7 +56,7 @@
 	return &Table{
 		upstream: upstream,
 		limit:    limit,
-		opensAt:  opensAt,
+		graceEnd: opensAt,
 		lastTerm: firstTerm,
 		holders:  map[string]*holderRecord{},
 	}
@@ -64,8 +64,8 @@
 
 // EndGrace ends the wait for an earlier home's leases; the caller knows all holders.
 func (b *Table) EndGrace(now time.Time) {
-	if now.Before(b.opensAt) {
-		b.opensAt = now
+	if now.Before(b.graceEnd) {
+		b.graceEnd = now
 	}
 }
 
@@ -89,7 +89,7 @@
 
 // Free is the number of slots that may be granted now.
 func (b *Table) Free(now time.Time) int {
-	if now.Before(b.opensAt) {
+	if now.Before(b.graceEnd) {
 		return 0
 	}
 	return max(b.limit-b.Granted(), 0)
@@ -98,13 +98,13 @@
 // Grant gives n slots to a router and returns what to tell it. The caller has
 // checked Free.
 func (b *Table) Grant(router string, incarnation uint64, n int, until time.Time) Grant {
-	h := b.holderOf(router, incarnation, until)
+	h := b.recordFor(router, incarnation, until)
 	h.granted += uint64(n)
-	return b.word(h)
+	return b.grantFor(h)
 }
 
-// word is what a holder is told.
-func (b *Table) word(h *holderRecord) Grant {
+// grantFor is what a holder is told.
+func (b *Table) grantFor(h *holderRecord) Grant {
 	return Grant{Upstream: b.upstream, Term: h.term, Granted: h.granted, Recalled: h.recalled}
 }
 
@@ -113,8 +113,8 @@
 // request ends, so a smaller limit cuts nothing.
 func (b *Table) Recall() []string {
 	var told []string
-	for excess := b.Granted() - b.recalling() - b.limit; excess > 0; excess-- {
-		name := b.largest()
+	for excess := b.Granted() - b.pendingRecalls() - b.limit; excess > 0; excess-- {
+		name := b.largestHolder()
 		if name == "" {
 			break
 		}
@@ -127,23 +127,23 @@
 	return told
 }
 
-// recalling counts slots that were recalled and have not come back yet.
-func (b *Table) recalling() int {
+// pendingRecalls counts slots that were recalled and have not come back yet.
+func (b *Table) pendingRecalls() int {
 	n := 0
 	for _, h := range b.holders {
-		n += h.recalling()
+		n += h.pendingRecalls()
 	}
 	return n
 }
 
-func (h *holderRecord) recalling() int { return int(max(h.recalled, h.returned) - h.returned) }
+func (h *holderRecord) pendingRecalls() int { return int(max(h.recalled, h.returned) - h.returned) }
 
-// largest is the router with most slots that are not recalled.
-func (b *Table) largest() string {
+// largestHolder is the router with most slots that are not recalled.
+func (b *Table) largestHolder() string {
 	name, most := "", 0
 	for _, router := range b.Holders() {
 		h := b.holders[router]
-		if n := h.held() - h.recalling(); n > most {
+		if n := h.held() - h.pendingRecalls(); n > most {
 			name, most = router, n
 		}
 	}
@@ -156,19 +156,19 @@
 	if !ok || h.incarnation != incarnation {
 		return Grant{}, false
 	}
-	return b.word(h), true
+	return b.grantFor(h), true
 }
 
-// holderOf returns the relation with the router's incarnation, a new one where
+// recordFor returns the relation with the router's incarnation, a new one where
 // there is none. What an earlier incarnation held is void: it ended with the
 // process.
-func (b *Table) holderOf(router string, incarnation uint64, until time.Time) *holderRecord {
+func (b *Table) recordFor(router string, incarnation uint64, until time.Time) *holderRecord {
 	h, ok := b.holders[router]
 	if ok && h.incarnation == incarnation {
 		return h
 	}
 	b.lastTerm++
-	h = &holderRecord{incarnation: incarnation, term: b.lastTerm, until: until}
+	h = &holderRecord{incarnation: incarnation, term: b.lastTerm, expiry: until}
 	b.holders[router] = h
 	return h
 }
@@ -176,7 +176,7 @@
 // ApplyReport takes in what a holder says. It returns the grant to answer a claim with.
 func (b *Table) ApplyReport(router string, incarnation uint64, r Report, until time.Time) (Grant, bool) {
 	if r.Term == 0 {
-		return b.claim(router, incarnation, r.Claim, until), true
+		return b.acceptClaim(router, incarnation, r.Claim, until), true
 	}
 	h, ok := b.holders[router]
 	if !ok || h.incarnation != incarnation || h.term != r.Term {
@@ -186,18 +186,18 @@
 	return Grant{}, false
 }
 
-// claim begins a new term with what the holder says it has: it alone knows.
-func (b *Table) claim(router string, incarnation uint64, n int, until time.Time) Grant {
+// acceptClaim begins a new term with what the holder says it has: it alone knows.
+func (b *Table) acceptClaim(router string, incarnation uint64, n int, until time.Time) Grant {
 	delete(b.holders, router)
-	h := b.holderOf(router, incarnation, until)
+	h := b.recordFor(router, incarnation, until)
 	h.granted = uint64(max(n, 0))
-	return b.word(h)
+	return b.grantFor(h)
 }
 
 // Renew extends every slot of the router: it was heard at until less a lease time.
 func (b *Table) Renew(router string, incarnation uint64, until time.Time) {
-	if h, ok := b.holders[router]; ok && h.incarnation == incarnation && until.After(h.until) {
-		h.until = until
+	if h, ok := b.holders[router]; ok && h.incarnation == incarnation && until.After(h.expiry) {
+		h.expiry = until
 	}
 }
 
@@ -205,7 +205,7 @@
 // Their own leases ended before, so they send nothing more on these slots.
 func (b *Table) Expire(now time.Time) {
 	for name, h := range b.holders {
-		if now.After(h.until) {
+		if now.After(h.expiry) {
 			delete(b.holders, name)
 		}
 	}
--- a/sched/dump.go
+++ b/sched/dump.go
@@ -67,8 +67,8 @@
 	for _, name := range slices.Sorted(maps.Keys(n.links)) {
 		l := n.links[name]
 		d.Peers = append(d.Peers, PeerDump{
-			Peer: name, Incarnation: l.incarnation, LastReceivedAgo: now.Sub(l.heardAt).Seconds(),
-			LastSentSeq: l.seq, LastReceivedSeq: l.heard, Unacked: len(l.times),
+			Peer: name, Incarnation: l.incarnation, LastReceivedAgo: now.Sub(l.receivedAt).Seconds(),
+			LastSentSeq: l.lastSent, LastReceivedSeq: l.lastReceived, Unacked: len(l.unackedSentAt),
 		})
 	}
 	return d
@@ -84,13 +84,13 @@
 
 func (u *upstream) dump(now time.Time) UpstreamDump {
 	d := UpstreamDump{
-		Upstream: u.ID, Home: u.holding.Home(), Held: u.holding.Held(), InUse: u.holding.InUse(),
-		LeaseLeft: max(u.holding.LeaseExpiry().Sub(now).Seconds(), 0), Limit: u.limit.Limit(),
+		Upstream: u.ID, Home: u.holder.Home(), Held: u.holder.Held(), InUse: u.holder.InUse(),
+		LeaseLeft: max(u.holder.LeaseExpiry().Sub(now).Seconds(), 0), Limit: u.limit.Limit(),
 		Draining: u.Draining, Queued: u.load.Queued,
 		AvoidedFor: max(u.avoidUntil.Sub(now).Seconds(), 0),
 	}
-	if u.book != nil {
-		d.IsHome, d.Granted, d.Free, d.Limit = true, u.book.Granted(), u.book.Free(now), u.book.Limit()
+	if u.table != nil {
+		d.IsHome, d.Granted, d.Free, d.Limit = true, u.table.Granted(), u.table.Free(now), u.table.Limit()
 	}
 	return d
 }
--- a/sched/failure_test.go
+++ b/sched/failure_test.go
@@ -27,7 +27,7 @@
 func TestFloodFillsOnlyItsOwnQueue(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(t, 3, 3, 4)
-	f.settle()
+	f.converge()
 	f.cost = 500 * time.Millisecond
 	var waited time.Duration
 	var small sched.RequestID
@@ -35,7 +35,7 @@
 		for range 2 {
 			f.arrive(0, 1)
 		}
-		if s, waiting := f.running[small]; !waiting || !s.at.IsZero() {
+		if s, waiting := f.running[small]; !waiting || !s.startedAt.IsZero() {
 			small = f.arrive(1, 2)
 			waited = 0
 		}
@@ -54,7 +54,7 @@
 func TestTeamsAtDifferentRoutersGetEqualService(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(t, 3, 3, 4)
-	f.settle()
+	f.converge()
 	f.cost = 200 * time.Millisecond
 	f.runWith(20*time.Second, func() {
 		f.backlog(0, 1)
@@ -71,7 +71,7 @@
 func TestIdleSlotsGoWhereWorkWaits(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(t, 4, 4, 4)
-	f.settle()
+	f.converge()
 	for range f.slots() {
 		f.arrive(0, 1)
 	}
@@ -85,11 +85,11 @@
 func TestEveryFurtherRequestFindsAnIdleSlot(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(t, 4, 4, 4)
-	f.settle()
+	f.converge()
 	for n := range f.slots() {
 		id := f.arrive(0, 1)
 		f.run(100 * time.Millisecond)
-		g.Expect(f.running[id].at.IsZero()).To(BeFalse(), "request %d waits beside idle slots", n+1)
+		g.Expect(f.running[id].startedAt.IsZero()).To(BeFalse(), "request %d waits beside idle slots", n+1)
 	}
 }
 
@@ -98,7 +98,7 @@
 func TestKilledRoutersSlotsComeBackWithinALease(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(t, 4, 4, 4)
-	f.settle()
+	f.converge()
 	f.cost = 300 * time.Millisecond
 	load := func() {
 		for i := range 3 {
@@ -121,7 +121,7 @@
 func TestRouterWokenLateSendsNothingOnOldLeases(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(t, 3, 3, 4)
-	f.settle()
+	f.converge()
 	f.run(time.Second)
 	f.paused[2] = true
 	f.runWith(10*time.Second, func() {
@@ -136,7 +136,7 @@
 		f.arrive(2, 2)
 	}
 	for id := before + 1; id <= f.lastID; id++ {
-		g.Expect(f.running[id].at.IsZero()).To(BeTrue(), "sent on a lease that had ended")
+		g.Expect(f.running[id].startedAt.IsZero()).To(BeTrue(), "sent on a lease that had ended")
 	}
 	f.cost = 200 * time.Millisecond
 	f.run(10 * time.Second)
@@ -151,7 +151,7 @@
 func TestHomeWokenLateVoidsItsOwnGrants(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(t, 2, 8, 2)
-	f.settle()
+	f.converge()
 	f.paused[1] = true
 	f.runWith(10*time.Second, func() { f.backlog(0, 1) })
 	f.paused[1] = false
@@ -173,7 +173,7 @@
 func TestCutInTwoAndRejoinedTwice(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(t, 4, 4, 4)
-	f.settle()
+	f.converge()
 	f.cost = 200 * time.Millisecond
 	load := func() {
 		f.backlog(0, 1)
@@ -184,7 +184,7 @@
 	left, right := []int{0, 1}, []int{2, 3}
 	for range 2 {
 		f.runWith(5*time.Second, load)
-		f.part(left, right, true)
+		f.setPartitioned(left, right, true)
 		f.runWith(3*time.Second, load)
 		clear(f.peak)
 		f.runWith(9*time.Second, load)
@@ -197,7 +197,7 @@
 			g.Expect(f.peak[u]).To(BeNumerically("<=", 4+1), "upstream %d while cut", u)
 		}
 		g.Expect(f.busy(0)).To(BeNumerically(">=", f.slots()))
-		f.part(left, right, false)
+		f.setPartitioned(left, right, false)
 		f.runWith(3*time.Second, load)
 		one, two := f.service[1], f.service[2]
 		f.runWith(5*time.Second, load)
@@ -212,7 +212,7 @@
 func TestRestartWithoutMemoryKeepsAccounts(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(t, 3, 3, 4)
-	f.settle()
+	f.converge()
 	f.cost = 200 * time.Millisecond
 	f.runWith(5*time.Second, func() { f.backlog(0, 1); f.backlog(1, 2) })
 	service := func(i int, team fairness.TeamID) float64 {
@@ -234,9 +234,9 @@
 func TestManglingTheNetworkMakesAndLosesNoSlot(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(t, 3, 3, 4)
-	f.settle()
+	f.converge()
 	f.cost = 50 * time.Millisecond
-	f.mangle = func(e envelope) []envelope {
+	f.perturb = func(e packet) []packet {
 		e.at = e.at.Add(time.Duration(f.rng.IntN(30)) * time.Millisecond)
 		switch f.rng.IntN(10) {
 		case 0:
@@ -244,15 +244,15 @@
 		case 1:
 			late := e
 			late.at = e.at.Add(200 * time.Millisecond)
-			return []envelope{e, late}
+			return []packet{e, late}
 		}
-		return []envelope{e}
+		return []packet{e}
 	}
 	f.runWith(20*time.Second, func() { f.backlog(0, 1); f.backlog(1, 2, 3) })
 	for u := 1; u <= 3; u++ {
 		g.Expect(f.peak[u]).To(BeNumerically("<=", 4), "upstream %d", u)
 	}
-	f.mangle = nil
+	f.perturb = nil
 	f.runWith(8*time.Second, func() { f.backlog(0, 1); f.backlog(1, 2, 3) })
 	g.Expect(f.busy(0)).To(Equal(f.slots()))
 }
@@ -263,7 +263,7 @@
 func TestSilentConnectionIsRedialledBeforeItsPeerIsSuspected(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(t, 2, 2, 2)
-	f.settle()
+	f.converge()
 	f.cut[[2]int{0, 1}] = true
 	cfg := sched.DefaultConfig("", 0)
 	f.runWith(cfg.SuspectAfter-100*time.Millisecond, func() {
@@ -282,7 +282,7 @@
 func TestLeavingUpstreamGetsNoNewWork(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(t, 2, 2, 4)
-	f.settle()
+	f.converge()
 	f.cost = 300 * time.Millisecond
 	load := func() { f.backlog(0, 1); f.backlog(1, 2) }
 	f.runWith(2*time.Second, load)
@@ -293,7 +293,7 @@
 	noticed := f.now
 	f.runWith(2*time.Second, load)
 	for _, s := range f.running {
-		g.Expect(s.upstream == 1 && s.at.After(noticed)).To(BeFalse(), "new work for a leaving upstream")
+		g.Expect(s.upstream == 1 && s.startedAt.After(noticed)).To(BeFalse(), "new work for a leaving upstream")
 	}
 	g.Expect(f.busy(1)).To(BeZero())
 	g.Expect(f.busy(2)).To(Equal(4))
@@ -305,18 +305,18 @@
 func TestShutdownRefusesWaitingAndGivesSlotsBack(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(t, 3, 3, 4)
-	f.settle()
+	f.converge()
 	f.cost = 300 * time.Millisecond
 	f.runWith(2*time.Second, func() { f.backlog(0, 1); f.backlog(1, 2); f.backlog(2, 3) })
 	ran := f.nodes[2].Running()
 	g.Expect(ran).To(BeNumerically(">", 0))
 	f.nodes[2].Leave(f.now)
-	f.act(2)
+	f.perform(2)
 	g.Expect(f.refused).To(HaveLen(8))
 	for id, r := range f.refused {
 		g.Expect(r.Reason).To(Equal(sched.ShuttingDown))
 		g.Expect(r.RetryAfter).To(BeNumerically(">", 0))
-		g.Expect(f.running[id].at.IsZero()).To(BeTrue(), "refused as not run, but ran")
+		g.Expect(f.running[id].startedAt.IsZero()).To(BeTrue(), "refused as not run, but ran")
 		delete(f.running, id)
 	}
 	f.runWith(f.cost+50*time.Millisecond, func() { f.backlog(0, 1); f.backlog(1, 2) })
@@ -331,18 +331,18 @@
 func TestDeadlines(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(t, 1, 1, 1)
-	f.settle()
+	f.converge()
 	f.arrive(0, 1)
 	f.lastID++
 	late := f.lastID
 	f.nodes[0].Submit(f.now, sched.Request{ID: late, Team: 2, Pool: 1, Deadline: f.now.Add(time.Second)})
-	f.act(0)
+	f.perform(0)
 	g.Expect(f.refused).NotTo(HaveKey(late))
 	f.run(1200 * time.Millisecond)
 	g.Expect(f.refused[late].Reason).To(Equal(sched.DeadlinePassed))
 	f.backlog(0, 2)
 	f.lastID++
 	f.nodes[0].Submit(f.now, sched.Request{ID: f.lastID, Team: 2, Pool: 1, Deadline: f.now.Add(time.Second)})
-	f.act(0)
+	f.perform(0)
 	g.Expect(f.refused[f.lastID].Reason).To(Equal(sched.DeadlinePassed))
 }
--- a/sched/fleet_test.go
+++ b/sched/fleet_test.go
@@ -22,17 +22,17 @@
 	reportEvery = 500 * time.Millisecond
 )
 
-// sent is a request on an upstream.
-type sent struct {
-	node     int
-	upstream int
-	team     fairness.TeamID
-	at       time.Time
-	until    time.Time
+// testRequest is a request on an upstream.
+type testRequest struct {
+	node      int
+	upstream  int
+	team      fairness.TeamID
+	startedAt time.Time
+	until     time.Time
 }
 
-// envelope is a message on its way.
-type envelope struct {
+// packet is a message on its way.
+type packet struct {
 	from, to int
 	at       time.Time
 	raw      []byte
@@ -48,10 +48,10 @@
 	paused   []bool
 	starts   int
 	settings sched.Settings
-	wires    []envelope
+	inFlight []packet
 	cut      map[[2]int]bool
-	mangle   func(envelope) []envelope
-	running  map[sched.RequestID]sent
+	perturb  func(packet) []packet
+	running  map[sched.RequestID]testRequest
 	refused  map[sched.RequestID]sched.Refuse
 	redials  map[[2]int]int
 	messages int
@@ -65,7 +65,7 @@
 func newFleet(t testing.TB, nodes, upstreams, slots int) *fleet {
 	f := &fleet{
 		t: t, now: time.Unix(1_700_000_000, 0), cut: map[[2]int]bool{},
-		running: map[sched.RequestID]sent{}, refused: map[sched.RequestID]sched.Refuse{},
+		running: map[sched.RequestID]testRequest{}, refused: map[sched.RequestID]sched.Refuse{},
 		redials: map[[2]int]int{}, service: map[fairness.TeamID]time.Duration{},
 		peak: map[int]int{}, rng: rand.New(rand.NewPCG(1, 2)),
 	}
@@ -100,7 +100,7 @@
 	}
 	f.nodes[i].SetList(f.now, list)
 	f.nodes[i].Configure(f.now, f.settings)
-	f.act(i)
+	f.perform(i)
 }
 
 // kill ends a process and what it ran.
@@ -111,11 +111,11 @@
 			delete(f.running, id)
 		}
 	}
-	f.wires = slices.DeleteFunc(f.wires, func(e envelope) bool { return e.from == i || e.to == i })
+	f.inFlight = slices.DeleteFunc(f.inFlight, func(e packet) bool { return e.from == i || e.to == i })
 }
 
-// part cuts or joins two groups of nodes.
-func (f *fleet) part(a, b []int, cut bool) {
+// setPartitioned cuts or joins two groups of nodes.
+func (f *fleet) setPartitioned(a, b []int, cut bool) {
 	for _, x := range a {
 		for _, y := range b {
 			f.cut[[2]int{x, y}] = cut
@@ -124,7 +124,7 @@
 	}
 }
 
-func (f *fleet) act(i int) {
+func (f *fleet) perform(i int) {
 	for _, a := range f.nodes[i].Actions() {
 		switch a := a.(type) {
 		case sched.Dispatch:
@@ -145,7 +145,7 @@
 
 func (f *fleet) dispatch(i int, d sched.Dispatch) {
 	s := f.running[d.Request]
-	s.node, s.upstream, s.at, s.until = i, d.Upstream, f.now, d.LeaseExpiry
+	s.node, s.upstream, s.startedAt, s.until = i, d.Upstream, f.now, d.LeaseExpiry
 	f.running[d.Request] = s
 	f.peak[d.Upstream] = max(f.peak[d.Upstream], f.busy(d.Upstream))
 }
@@ -156,24 +156,24 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	e := envelope{from: i, to: f.index(a.To), at: f.now.Add(oneWay), raw: raw}
+	e := packet{from: i, to: f.index(a.To), at: f.now.Add(oneWay), raw: raw}
 	if f.cut[[2]int{e.from, e.to}] {
 		return
 	}
-	if f.mangle == nil {
-		f.wires = append(f.wires, e)
+	if f.perturb == nil {
+		f.inFlight = append(f.inFlight, e)
 		return
 	}
-	f.wires = append(f.wires, f.mangle(e)...)
+	f.inFlight = append(f.inFlight, f.perturb(e)...)
 }
 
 // arrive sends a request of a team to a node.
 func (f *fleet) arrive(i int, team fairness.TeamID) sched.RequestID {
 	f.lastID++
 	id := f.lastID
-	f.running[id] = sent{team: team, node: -1}
+	f.running[id] = testRequest{team: team, node: -1}
 	f.nodes[i].Submit(f.now, sched.Request{ID: id, Team: team, Pool: 1})
-	f.act(i)
+	f.perform(i)
 	if _, refused := f.refused[id]; refused {
 		delete(f.running, id)
 	}
@@ -184,10 +184,10 @@
 func (f *fleet) finish(id sched.RequestID) {
 	s := f.running[id]
 	delete(f.running, id)
-	f.service[s.team] += f.now.Sub(s.at)
+	f.service[s.team] += f.now.Sub(s.startedAt)
 	if f.up[s.node] {
 		f.nodes[s.node].Finish(f.now, id)
-		f.act(s.node)
+		f.perform(s.node)
 	}
 }
 
@@ -211,9 +211,9 @@
 }
 
 func (f *fleet) deliver() {
-	var later []envelope
-	wires := f.wires
-	f.wires = nil
+	var later []packet
+	wires := f.inFlight
+	f.inFlight = nil
 	for _, e := range wires {
 		if e.at.After(f.now) || f.paused[e.to] {
 			later = append(later, e)
@@ -227,9 +227,9 @@
 			f.t.Fatal(err)
 		}
 		f.nodes[e.to].Receive(f.now, s)
-		f.act(e.to)
+		f.perform(e.to)
 	}
-	f.wires = append(later, f.wires...)
+	f.inFlight = append(later, f.inFlight...)
 }
 
 // endRequests ends those that have run for the fleet's cost, oldest id first.
@@ -239,7 +239,7 @@
 	}
 	var done []sched.RequestID
 	for id, s := range f.running {
-		if !s.at.IsZero() && f.now.Sub(s.at) >= f.cost && !f.paused[s.node] {
+		if !s.startedAt.IsZero() && f.now.Sub(s.startedAt) >= f.cost && !f.paused[s.node] {
 			done = append(done, id)
 		}
 	}
@@ -253,7 +253,7 @@
 	for i, n := range f.nodes {
 		if f.up[i] && !f.paused[i] {
 			n.Tick(f.now)
-			f.act(i)
+			f.perform(i)
 		}
 	}
 }
@@ -266,7 +266,7 @@
 		}
 		for _, u := range n.HomedUpstreams() {
 			n.ObserveLoad(f.now, u.Pool, u.ID, limits.Load{Running: min(f.busy(u.ID), u.Slots), Queued: max(f.busy(u.ID)-u.Slots, 0)})
-			f.act(i)
+			f.perform(i)
 		}
 	}
 }
@@ -275,7 +275,7 @@
 func (f *fleet) busy(upstream int) int {
 	n := 0
 	for _, s := range f.running {
-		if !s.at.IsZero() && (upstream == 0 || s.upstream == upstream) {
+		if !s.startedAt.IsZero() && (upstream == 0 || s.upstream == upstream) {
 			n++
 		}
 	}
@@ -300,5 +300,5 @@
 	return n
 }
 
-// settle lets a new fleet find itself.
-func (f *fleet) settle() { f.run(6 * time.Second) }
+// converge lets a new fleet find itself.
+func (f *fleet) converge() { f.run(6 * time.Second) }
--- a/sched/home.go
+++ b/sched/home.go
@@ -13,10 +13,10 @@
 // until park spreads them.
 func (n *Node) allocate(now time.Time, p *pool) {
 	for _, u := range p.upstreams {
-		if u.book == nil || u.Draining {
+		if u.table == nil || u.Draining {
 			continue
 		}
-		for u.book.Free(now) > 0 && n.grantNext(now, p, u) {
+		for u.table.Free(now) > 0 && n.grantNext(now, p, u) {
 		}
 	}
 }
@@ -26,8 +26,8 @@
 func (n *Node) grantNext(now time.Time, p *pool, u *upstream) bool {
 	local, waits := p.accounts.NextLocal(now)
 	remote, elsewhere := p.accounts.NextRemote(now)
-	if waits && n.wanted(now, p) && (!elsewhere || local.Key <= remote.Key) {
-		n.grantSelf(now, u, 1)
+	if waits && n.queueExceedsIdle(now, p) && (!elsewhere || local.Key <= remote.Key) {
+		n.grantLocal(now, u, 1)
 		return true
 	}
 	if !elsewhere {
@@ -38,8 +38,8 @@
 	return true
 }
 
-// wanted reports whether more requests wait here than slots are idle.
-func (n *Node) wanted(now time.Time, p *pool) bool {
+// queueExceedsIdle reports whether more requests wait here than slots are idle.
+func (n *Node) queueExceedsIdle(now time.Time, p *pool) bool {
 	idle := 0
 	for _, u := range p.upstreams {
 		idle += u.idle(now)
@@ -47,45 +47,45 @@
 	return p.queue.Len() > idle
 }
 
-func (n *Node) grantSelf(now time.Time, u *upstream, slots int) {
-	g := u.book.Grant(n.cfg.Router, n.cfg.Incarnation, slots, n.ownLease())
-	u.holding.ApplyGrant(g)
-	u.holding.Extend(n.ownLease())
+func (n *Node) grantLocal(now time.Time, u *upstream, slots int) {
+	g := u.table.Grant(n.cfg.Router, n.cfg.Incarnation, slots, n.ownLeaseExpiry())
+	u.holder.ApplyGrant(g)
+	u.holder.Extend(n.ownLeaseExpiry())
 }
 
-// ownLease is the end of slots that this router grants itself. It counts from
+// ownLeaseExpiry is the end of slots that this router grants itself. It counts from
 // the last tick, so that a process that was paused finds it ended.
-func (n *Node) ownLease() time.Time { return n.tickedAt.Add(n.cfg.LeaseTTL) }
+func (n *Node) ownLeaseExpiry() time.Time { return n.lastTickAt.Add(n.cfg.LeaseTTL) }
 
 func (n *Node) grant(now time.Time, u *upstream, router string, slots int) {
 	l := n.linkTo(router)
-	u.book.Grant(router, n.view.Incarnation(router), slots, l.heardAt.Add(n.cfg.LeaseTTL))
+	u.table.Grant(router, n.view.Incarnation(router), slots, l.receivedAt.Add(n.cfg.LeaseTTL))
 	l.grants[u.ID] = true
 }
 
-// reportSelf passes this router's own returns and claims to its own book.
-func (n *Node) reportSelf(u *upstream) {
-	r, ok := u.holding.Report()
+// reportLocal passes this router's own returns and claims to its own book.
+func (n *Node) reportLocal(u *upstream) {
+	r, ok := u.holder.Report()
 	if !ok {
 		return
 	}
-	if g, answered := u.book.ApplyReport(n.cfg.Router, n.cfg.Incarnation, r, n.ownLease()); answered {
-		u.holding.ApplyGrant(g)
-		u.holding.Extend(n.ownLease())
+	if g, answered := u.table.ApplyReport(n.cfg.Router, n.cfg.Incarnation, r, n.ownLeaseExpiry()); answered {
+		u.holder.ApplyGrant(g)
+		u.holder.Extend(n.ownLeaseExpiry())
 	}
 }
 
-// park spreads free slots that nobody waits for over the live routers, so that
+// distributeFree spreads free slots that nobody waits for over the live routers, so that
 // a request that meets no contention finds an idle slot without a round trip.
-func (n *Node) park(now time.Time, p *pool) {
+func (n *Node) distributeFree(now time.Time, p *pool) {
 	for _, u := range p.upstreams {
-		if u.book == nil || u.Draining {
+		if u.table == nil || u.Draining {
 			continue
 		}
-		for u.book.Free(now) > 0 {
-			router := n.parkAt(p, u.book)
+		for u.table.Free(now) > 0 {
+			router := n.freeSlotTarget(p, u.table)
 			if router == n.cfg.Router {
-				n.grantSelf(now, u, 1)
+				n.grantLocal(now, u, 1)
 			} else {
 				n.grant(now, u, router, 1)
 			}
@@ -93,9 +93,9 @@
 	}
 }
 
-// parkAt is the live router that has the most work in the pool for each slot of
+// freeSlotTarget is the live router that has the most work in the pool for each slot of
 // the upstream that it holds, so that idle slots lie where requests come.
-func (n *Node) parkAt(p *pool, b *lease.Table) string {
+func (n *Node) freeSlotTarget(p *pool, b *lease.Table) string {
 	router, most := n.cfg.Router, workPerSlot(p, b, n.cfg.Router, "")
 	for _, name := range n.live {
 		if name == n.cfg.Router {
@@ -114,8 +114,8 @@
 	return float64(p.accounts.Outstanding(account)+1) / float64(b.Held(router)+1)
 }
 
-// reportFresh is how long an upstream's load report is believed.
-const reportFresh = 2 * time.Second
+// loadReportTTL is how long an upstream's load report is believed.
+const loadReportTTL = 2 * time.Second
 
 // ObserveLoad takes in an upstream's own report. Only the upstream's home asks for it.
 func (n *Node) ObserveLoad(now time.Time, poolID, upstreamID int, l limits.Load) {
@@ -130,39 +130,39 @@
 	u.load, u.loadAt = l, now
 	u.limit.Observe(l)
 	n.setLimit(now, u)
-	n.wake(now, p)
+	n.schedule(now, p)
 	n.flush(now)
 }
 
 // setLimit brings the book's limit up to date with what is learned and with the
 // part of the fleet that is visible.
 func (n *Node) setLimit(now time.Time, u *upstream) {
-	if u.book == nil {
+	if u.table == nil {
 		return
 	}
 	visible, listed := n.view.Visible(now)
-	u.book.SetLimit(u.limit.Share(visible, listed, u.foreign(now)))
-	for _, router := range u.book.Recall() {
-		n.tellRecall(u, router)
+	u.table.SetLimit(u.limit.Share(visible, listed, u.externalLoad(now)))
+	for _, router := range u.table.Recall() {
+		n.sendRecall(u, router)
 	}
 }
 
-// foreign is how many requests the upstream has that this side of the fleet did
+// externalLoad is how many requests the upstream has that this side of the fleet did
 // not send. Without a fresh report all of its slots may be taken.
-func (u *upstream) foreign(now time.Time) int {
-	if now.Sub(u.loadAt) > reportFresh {
+func (u *upstream) externalLoad(now time.Time) int {
+	if now.Sub(u.loadAt) > loadReportTTL {
 		return u.limit.Limit()
 	}
-	return max(u.load.Running+u.load.Queued-u.book.Granted(), 0)
+	return max(u.load.Running+u.load.Queued-u.table.Granted(), 0)
 }
 
-func (n *Node) tellRecall(u *upstream, router string) {
+func (n *Node) sendRecall(u *upstream, router string) {
 	if router != n.cfg.Router {
 		n.linkTo(router).grants[u.ID] = true
 		return
 	}
-	if g, ok := u.book.CurrentGrant(router, n.cfg.Incarnation); ok {
-		u.holding.ApplyGrant(g)
+	if g, ok := u.table.CurrentGrant(router, n.cfg.Incarnation); ok {
+		u.holder.ApplyGrant(g)
 	}
 }
 
@@ -171,7 +171,7 @@
 	var homes []Upstream
 	for _, p := range n.pools {
 		for _, u := range p.upstreams {
-			if u.book != nil {
+			if u.table != nil {
 				homes = append(homes, u.Upstream)
 			}
 		}
--- a/sched/node.go
+++ b/sched/node.go
@@ -27,8 +27,8 @@
 	live     []string
 	liveHash uint32
 	lastTerm uint64
-	// startedAt opens the first books; tickedAt tells a pause from a tick.
-	startedAt, tickedAt, reportedAt, askedAt time.Time
+	// startedAt opens the first books; lastTickAt tells a pause from a tick.
+	startedAt, lastTickAt, lastReportAt, lastSlotRequestAt time.Time
 	// joined is set once a peer's snapshot came, or when nobody has one.
 	joined  bool
 	leaving bool
@@ -38,15 +38,15 @@
 // NewNode returns a node that knows no peer and has no settings.
 func NewNode(now time.Time, cfg Config) *Node {
 	return &Node{
-		cfg:       cfg,
-		view:      membership.NewView(cfg.Router, cfg.SuspectAfter),
-		pools:     map[int]*pool{},
-		requests:  map[RequestID]*Request{},
-		running:   map[RequestID]*running{},
-		links:     map[string]*link{},
-		live:      []string{cfg.Router},
-		startedAt: now,
-		tickedAt:  now,
+		cfg:        cfg,
+		view:       membership.NewView(cfg.Router, cfg.SuspectAfter),
+		pools:      map[int]*pool{},
+		requests:   map[RequestID]*Request{},
+		running:    map[RequestID]*running{},
+		links:      map[string]*link{},
+		live:       []string{cfg.Router},
+		startedAt:  now,
+		lastTickAt: now,
 	}
 }
 
@@ -57,7 +57,7 @@
 	return out
 }
 
-func (n *Node) do(a Action) { n.actions = append(n.actions, a) }
+func (n *Node) emit(a Action) { n.actions = append(n.actions, a) }
 
 // Configure takes in a bundle's settings. Running and waiting requests go on;
 // requests that wait for a pool that is gone are refused.
@@ -79,16 +79,16 @@
 		}
 		p.setUpstreams(n, s.Upstreams)
 	}
-	n.rehome(now)
-	n.wakeAll(now)
+	n.assignHomes(now)
+	n.scheduleAll(now)
 }
 
 func (n *Node) newPool(id int) *pool {
 	return &pool{
-		id:       id,
-		accounts: fairness.NewAccounts(n.cfg.Fairness, n.cfg.MeanCost),
-		queue:    fairness.NewQueue[RequestID](),
-		interval: n.cfg.MeanCost,
+		id:             id,
+		accounts:       fairness.NewAccounts(n.cfg.Fairness, n.cfg.MeanCost),
+		queue:          fairness.NewQueue[RequestID](),
+		finishInterval: n.cfg.MeanCost,
 	}
 }
 
@@ -96,7 +96,7 @@
 	for id, r := range n.requests {
 		if r.Pool == p.id {
 			delete(n.requests, id)
-			n.do(Refuse{Request: id, Reason: NoPool, RetryAfter: minRetryAfter})
+			n.emit(Refuse{Request: id, Reason: NoPool, RetryAfter: minRetryAfter})
 		}
 	}
 	if p.running() == 0 {
@@ -121,7 +121,7 @@
 		}
 		u, ok := kept[s.ID]
 		if !ok {
-			u = &upstream{holding: lease.NewHolder(s.ID), limit: limits.NewAdaptive(s.Slots)}
+			u = &upstream{holder: lease.NewHolder(s.ID), limit: limits.NewAdaptive(s.Slots)}
 		}
 		u.Upstream = s
 		u.limit.SetMost(s.Slots)
@@ -131,30 +131,30 @@
 	for _, id := range slices.Sorted(maps.Keys(kept)) {
 		u := kept[id]
 		u.Draining = true
-		n.dropBook(u)
-		if u.holding.InUse() > 0 {
+		n.dropTable(u)
+		if u.holder.InUse() > 0 {
 			p.upstreams = append(p.upstreams, u)
 		}
 	}
 }
 
-func (n *Node) dropBook(u *upstream) {
-	if u.book == nil {
+func (n *Node) dropTable(u *upstream) {
+	if u.table == nil {
 		return
 	}
-	n.lastTerm = max(n.lastTerm, u.book.LastTerm())
-	u.book = nil
+	n.lastTerm = max(n.lastTerm, u.table.LastTerm())
+	u.table = nil
 }
 
 // SetList takes in the platform's list of VMs.
 func (n *Node) SetList(now time.Time, list []membership.Listed) {
 	n.view.SetList(list)
-	n.refresh(now)
+	n.refreshLive(now)
 	n.flush(now)
 }
 
-// refresh recomputes which routers are live and moves homes if that changed.
-func (n *Node) refresh(now time.Time) {
+// refreshLive recomputes which routers are live and moves homes if that changed.
+func (n *Node) refreshLive(now time.Time) {
 	for name := range n.links {
 		reachable := n.view.Reachable(now, name)
 		for _, p := range n.pools {
@@ -167,61 +167,61 @@
 	}
 	n.live = live
 	n.liveHash = uint32(xxhash.Sum64String(strings.Join(live, " "))) | 1
-	n.unsettleAll()
-	n.rehome(now)
-	n.wakeAll(now)
+	n.resetConvergenceAll()
+	n.assignHomes(now)
+	n.scheduleAll(now)
 }
 
-// rehome finds every upstream's home among the live routers.
-func (n *Node) rehome(now time.Time) {
+// assignHomes finds every upstream's home among the live routers.
+func (n *Node) assignHomes(now time.Time) {
 	for _, p := range n.pools {
 		for _, u := range p.upstreams {
-			n.rehomeOne(now, u)
+			n.assignHome(now, u)
 		}
 	}
 }
 
-func (n *Node) rehomeOne(now time.Time, u *upstream) {
+func (n *Node) assignHome(now time.Time, u *upstream) {
 	home := membership.Home(n.live, upstreamKey(u.ID))
-	u.holding.SetHome(home, n.incarnationOf(home))
+	u.holder.SetHome(home, n.incarnationOf(home))
 	if home != n.cfg.Router {
-		n.dropBook(u)
-		if u.holding.ClaimPending() {
-			n.claim(u)
+		n.dropTable(u)
+		if u.holder.ClaimPending() {
+			n.queueClaim(u)
 		}
 		return
 	}
-	if u.book != nil {
+	if u.table != nil {
 		return
 	}
-	u.book = lease.NewTable(u.ID, u.limit.Limit(), n.lastTerm, now.Add(n.openDelay()))
+	u.table = lease.NewTable(u.ID, u.limit.Limit(), n.lastTerm, now.Add(n.gracePeriod()))
 	n.lastTerm++
-	n.reportSelf(u)
+	n.reportLocal(u)
 }
 
-// openDelay is how long a new book stays closed. A router alone in its list has
+// gracePeriod is how long a new book stays closed. A router alone in its list has
 // nobody whose leases it must wait out.
-func (n *Node) openDelay() time.Duration {
-	if _, listed := n.view.Visible(n.tickedAt); listed == 1 {
+func (n *Node) gracePeriod() time.Duration {
+	if _, listed := n.view.Visible(n.lastTickAt); listed == 1 {
 		return 0
 	}
 	return n.cfg.LeaseTTL
 }
 
-// openBooks opens new books before their time once nobody is left whose slots
+// endGracePeriods opens new books before their time once nobody is left whose slots
 // they could miss: every router that is listed or was heard is reachable, and has
 // said that it acts by the same live routers and so has claimed what it holds.
 // Without this a join or a graceful leave would close slots for a lease time.
-func (n *Node) openBooks(now time.Time) {
+func (n *Node) endGracePeriods(now time.Time) {
 	for _, name := range n.view.Peers(now) {
-		if !n.view.Reachable(now, name) || !n.linkTo(name).settled {
+		if !n.view.Reachable(now, name) || !n.linkTo(name).converged {
 			return
 		}
 	}
 	for _, p := range n.pools {
 		for _, u := range p.upstreams {
-			if u.book != nil {
-				u.book.EndGrace(now)
+			if u.table != nil {
+				u.table.EndGrace(now)
 			}
 		}
 	}
@@ -245,9 +245,9 @@
 	return nil
 }
 
-// wakeAll looks again at every pool.
-func (n *Node) wakeAll(now time.Time) {
+// scheduleAll looks again at every pool.
+func (n *Node) scheduleAll(now time.Time) {
 	for _, id := range slices.Sorted(maps.Keys(n.pools)) {
-		n.wake(now, n.pools[id])
+		n.schedule(now, n.pools[id])
 	}
 }
--- a/sched/pool.go
+++ b/sched/pool.go
@@ -15,40 +15,40 @@
 	accounts  *fairness.Accounts
 	queue     *fairness.Queue[RequestID]
 	upstreams []*upstream
-	// interval is the learned time between two ends here, in seconds; it tells
+	// finishInterval is the learned time between two ends here, in seconds; it tells
 	// how long a queue takes to drain.
-	interval  float64
-	lastEndAt time.Time
-	// granted is set when slots came from a home since the last look.
-	granted bool
+	finishInterval float64
+	lastFinishAt   time.Time
+	// grantsReceived is set when slots came from a home since the last look.
+	grantsReceived bool
 }
 
 // upstream is one upstream as this router sees it.
 type upstream struct {
 	Upstream
-	holding *lease.Holder
-	// book is set while this router is the upstream's home.
-	book  *lease.Table
+	holder *lease.Holder
+	// table is set while this router is the upstream's home.
+	table *lease.Table
 	limit *limits.Adaptive
 	load  limits.Load
 	// loadAt is when load came.
 	loadAt time.Time
-	// prefix is the last prompt start sent from here, a hint of what the
-	// engine's prefix cache holds.
-	prefix uint64
+	// lastPrefix is the last prompt start sent from here, a hint of what the
+	// engine's lastPrefix cache holds.
+	lastPrefix uint64
 	// avoidUntil is when an upstream that failed is tried again.
 	avoidUntil time.Time
 }
 
-// intervalWindow is the weight of one more end in the learned interval.
-const intervalWindow = 0.1
+// finishIntervalWeight is the weight of one more end in the learned interval.
+const finishIntervalWeight = 0.1
 
-// ended learns the time between ends.
-func (p *pool) ended(now time.Time) {
-	if !p.lastEndAt.IsZero() {
-		p.interval += intervalWindow * (now.Sub(p.lastEndAt).Seconds() - p.interval)
+// observeFinish learns the time between ends.
+func (p *pool) observeFinish(now time.Time) {
+	if !p.lastFinishAt.IsZero() {
+		p.finishInterval += finishIntervalWeight * (now.Sub(p.lastFinishAt).Seconds() - p.finishInterval)
 	}
-	p.lastEndAt = now
+	p.lastFinishAt = now
 }
 
 // usable reports whether new work may be sent to the upstream.
@@ -61,7 +61,7 @@
 	if !u.usable(now) {
 		return 0
 	}
-	return u.holding.Idle(now)
+	return u.holder.Idle(now)
 }
 
 // pick returns the upstream for a request: one that likely holds its prompt's
@@ -75,7 +75,7 @@
 		if n == 0 {
 			continue
 		}
-		if r.PrefixHash != 0 && u.prefix == r.PrefixHash && u.ID != r.AvoidUpstream {
+		if r.PrefixHash != 0 && u.lastPrefix == r.PrefixHash && u.ID != r.AvoidUpstream {
 			return u
 		}
 		if u.ID == r.AvoidUpstream {
@@ -88,14 +88,14 @@
 	return best
 }
 
-// anyIdle returns the upstream with most idle slots.
-func (p *pool) anyIdle(now time.Time) *upstream { return p.pick(now, &Request{}) }
+// mostIdle returns the upstream with most idle slots.
+func (p *pool) mostIdle(now time.Time) *upstream { return p.pick(now, &Request{}) }
 
 // running counts the requests of the pool that hold a slot here.
 func (p *pool) running() int {
 	n := 0
 	for _, u := range p.upstreams {
-		n += u.holding.InUse()
+		n += u.holder.InUse()
 	}
 	return n
 }
--- a/sched/receive.go
+++ b/sched/receive.go
@@ -12,30 +12,30 @@
 	if n.stale(now, l, s) {
 		return
 	}
-	n.noteSender(now, l, s)
-	n.noteAck(l, s)
+	n.recordSender(now, l, s)
+	n.recordAck(l, s)
 	for _, part := range s.Pools {
 		if p, ok := n.pools[part.Pool]; ok {
 			n.receivePool(now, p, l, s, part)
 		}
 	}
-	n.renew(now, l)
-	n.refresh(now)
-	l.settled = l.settled || (s.ToIncarnation == n.cfg.Incarnation && s.Ack >= l.changeSeq && s.LiveHash == n.liveHash && !l.missed)
-	n.openBooks(now)
-	n.wakeAll(now)
-	n.noteGrants()
-	n.askAgain(now)
+	n.renewLeases(now, l)
+	n.refreshLive(now)
+	l.converged = l.converged || (s.ToIncarnation == n.cfg.Incarnation && s.Ack >= l.changeSeq && s.LiveHash == n.liveHash && !l.requestFull)
+	n.endGracePeriods(now)
+	n.scheduleAll(now)
+	n.recordGrants()
+	n.retrySlotRequest(now)
 	n.flush(now)
 }
 
-// noteGrants lets what still waits after new slots came be asked for anew.
-func (n *Node) noteGrants() {
+// recordGrants lets what still waits after new slots came be asked for anew.
+func (n *Node) recordGrants() {
 	for _, p := range n.pools {
-		if p.granted {
+		if p.grantsReceived {
 			p.accounts.RecordGrants()
 		}
-		p.granted = false
+		p.grantsReceived = false
 	}
 }
 
@@ -43,57 +43,57 @@
 // incarnation that has ended.
 func (n *Node) stale(now time.Time, l *link, s Sync) bool {
 	if s.Incarnation == l.incarnation {
-		return s.Seq <= l.heard
+		return s.Seq <= l.lastReceived
 	}
 	if s.Incarnation > l.incarnation {
 		return false
 	}
 	// A VM whose clock was set back restarts with a lower incarnation. Its old
 	// process is gone once it has been silent for as long as it takes to suspect it.
-	return now.Sub(l.heardAt) < n.cfg.SuspectAfter
+	return now.Sub(l.receivedAt) < n.cfg.SuspectAfter
 }
 
-func (n *Node) noteSender(now time.Time, l *link, s Sync) {
+func (n *Node) recordSender(now time.Time, l *link, s Sync) {
 	if n.view.Heard(now, s.From, s.Incarnation, s.Leaving) {
 		l.reset(s.Incarnation)
 		for _, p := range n.pools {
 			p.accounts.Merge(now, s.From, s.Incarnation, nil)
 		}
-		n.rehome(now)
+		n.assignHomes(now)
 	}
-	l.missed = l.missed || s.Seq != l.heard+1
-	l.heard = s.Seq
-	l.heardAt = now
-	l.full = l.full || s.Missed
+	l.requestFull = l.requestFull || s.Seq != l.lastReceived+1
+	l.lastReceived = s.Seq
+	l.receivedAt = now
+	l.sendFull = l.sendFull || s.Missed
 	// Who joins itself has nothing to give; two that join would answer each other
 	// without end.
 	// A peer whose live routers changed waits for an acknowledgement.
-	l.urgent = l.urgent || l.live != s.LiveHash
-	l.live = s.LiveHash
-	l.snapshot = l.snapshot || (s.Joining && n.joined)
+	l.urgent = l.urgent || l.liveHash != s.LiveHash
+	l.liveHash = s.LiveHash
+	l.sendSnapshot = l.sendSnapshot || (s.Joining && n.joined)
 }
 
-// noteAck extends the leases from the peer: it heard a message of this
+// recordAck extends the leases from the peer: it heard a message of this
 // incarnation, sent at a known time.
-func (n *Node) noteAck(l *link, s Sync) {
+func (n *Node) recordAck(l *link, s Sync) {
 	if s.ToIncarnation != n.cfg.Incarnation || s.Ack == 0 {
 		return
 	}
-	if at, ok := l.acked(s.Ack); ok {
+	if at, ok := l.acknowledge(s.Ack); ok {
 		l.leaseUntil = at.Add(n.cfg.LeaseTTL)
 	}
 }
 
-// renew extends the leases between this router and the peer: its own from what
+// renewLeases extends the leases between this router and the peer: its own from what
 // the peer acknowledged, the peer's from now.
-func (n *Node) renew(now time.Time, l *link) {
+func (n *Node) renewLeases(now time.Time, l *link) {
 	for _, p := range n.pools {
 		for _, u := range p.upstreams {
-			if u.book != nil {
-				u.book.Renew(l.name, l.incarnation, now.Add(n.cfg.LeaseTTL))
+			if u.table != nil {
+				u.table.Renew(l.name, l.incarnation, now.Add(n.cfg.LeaseTTL))
 			}
-			if u.holding.Home() == l.name && u.holding.HomeIncarnation() == l.incarnation {
-				u.holding.Extend(l.leaseUntil)
+			if u.holder.Home() == l.name && u.holder.HomeIncarnation() == l.incarnation {
+				u.holder.Extend(l.leaseUntil)
 			}
 		}
 	}
@@ -120,18 +120,18 @@
 
 func (n *Node) receiveGrant(p *pool, l *link, g lease.Grant) {
 	u := n.upstreamOf(p, g.Upstream)
-	if u == nil || u.holding.Home() != l.name || u.holding.HomeIncarnation() != l.incarnation {
+	if u == nil || u.holder.Home() != l.name || u.holder.HomeIncarnation() != l.incarnation {
 		return
 	}
-	p.granted = u.holding.ApplyGrant(g) || p.granted
+	p.grantsReceived = u.holder.ApplyGrant(g) || p.grantsReceived
 }
 
 func (n *Node) receiveReport(now time.Time, p *pool, l *link, r lease.Report) {
 	u := n.upstreamOf(p, r.Upstream)
-	if u == nil || u.book == nil {
+	if u == nil || u.table == nil {
 		return
 	}
-	if _, answered := u.book.ApplyReport(l.name, l.incarnation, r, now.Add(n.cfg.LeaseTTL)); answered {
+	if _, answered := u.table.ApplyReport(l.name, l.incarnation, r, now.Add(n.cfg.LeaseTTL)); answered {
 		l.grants[u.ID] = true
 	}
 }
--- a/sched/requests.go
+++ b/sched/requests.go
@@ -18,19 +18,19 @@
 func (n *Node) Submit(now time.Time, r Request) {
 	p, ok := n.pools[r.Pool]
 	if !ok {
-		n.do(Refuse{Request: r.ID, Reason: NoPool, RetryAfter: minRetryAfter})
+		n.emit(Refuse{Request: r.ID, Reason: NoPool, RetryAfter: minRetryAfter})
 		return
 	}
 	if reason, refused := n.refusal(now, p, &r); refused {
-		n.do(Refuse{Request: r.ID, Reason: reason, RetryAfter: n.retryAfter(p, r.Team)})
+		n.emit(Refuse{Request: r.ID, Reason: reason, RetryAfter: n.retryAfter(p, r.Team)})
 		return
 	}
 	p.accounts.Activate(now, r.Team)
 	n.requests[r.ID] = &r
 	p.queue.Push(r.Team, r.ID)
 	p.accounts.SetWaiting(now, r.Team, p.queue.Waiting(r.Team))
-	n.wake(now, p)
-	n.ask(now, p, r.Team)
+	n.schedule(now, p)
+	n.requestSlots(now, p, r.Team)
 	n.flush(now)
 }
 
@@ -41,21 +41,21 @@
 		return ShuttingDown, true
 	case p.queue.Waiting(r.Team) >= n.cfg.QueuePerTeam:
 		return QueueFull, true
-	case !r.Deadline.IsZero() && now.Add(n.drainTime(p, r.Team)).After(r.Deadline):
+	case !r.Deadline.IsZero() && now.Add(n.queueDelay(p, r.Team)).After(r.Deadline):
 		return DeadlinePassed, true
 	}
 	return "", false
 }
 
-// drainTime is how long the requests of the team that wait here are expected to
+// queueDelay is how long the requests of the team that wait here are expected to
 // take to begin, at the measured rate and an equal turn for each waiting team.
-func (n *Node) drainTime(p *pool, team fairness.TeamID) time.Duration {
+func (n *Node) queueDelay(p *pool, team fairness.TeamID) time.Duration {
 	ahead := p.queue.Waiting(team) * p.queue.Teams()
-	return time.Duration(float64(ahead) * p.interval * float64(time.Second))
+	return time.Duration(float64(ahead) * p.finishInterval * float64(time.Second))
 }
 
 func (n *Node) retryAfter(p *pool, team fairness.TeamID) time.Duration {
-	return min(max(n.drainTime(p, team), minRetryAfter), maxRetryAfter)
+	return min(max(n.queueDelay(p, team), minRetryAfter), maxRetryAfter)
 }
 
 // Cancel forgets a waiting request whose caller left. It returns false if the
@@ -69,38 +69,38 @@
 	delete(n.requests, id)
 	p.queue.Remove(r.Team, id)
 	p.accounts.SetWaiting(now, r.Team, p.queue.Waiting(r.Team))
-	n.wake(now, p)
+	n.schedule(now, p)
 	n.flush(now)
 	return true
 }
 
 // Finish ends a running request and frees its slot.
 func (n *Node) Finish(now time.Time, id RequestID) {
-	r, p := n.end(now, id)
+	r, p := n.stopRunning(now, id)
 	if r == nil {
 		return
 	}
 	p.accounts.ObserveCost(now.Sub(r.started))
-	p.ended(now)
-	n.wake(now, p)
+	p.observeFinish(now)
+	n.schedule(now, p)
 	n.flush(now)
 }
 
 // Fail ends a running request that the upstream did not serve. The upstream is
 // avoided for a while.
 func (n *Node) Fail(now time.Time, id RequestID, avoid time.Duration) {
-	r, p := n.end(now, id)
+	r, p := n.stopRunning(now, id)
 	if r == nil {
 		return
 	}
 	if u := n.upstreamOf(p, r.upstream); u != nil {
 		u.avoidUntil = now.Add(avoid)
 	}
-	n.wake(now, p)
+	n.schedule(now, p)
 	n.flush(now)
 }
 
-func (n *Node) end(now time.Time, id RequestID) (*running, *pool) {
+func (n *Node) stopRunning(now time.Time, id RequestID) (*running, *pool) {
 	r, ok := n.running[id]
 	if !ok {
 		return nil, nil
@@ -109,7 +109,7 @@
 	p := n.pools[r.Pool]
 	p.accounts.End(now, r.Team, r.started)
 	if u := n.upstreamOf(p, r.upstream); u != nil {
-		u.holding.Release()
+		u.holder.Release()
 	}
 	return r, p
 }
@@ -125,19 +125,19 @@
 		delete(n.requests, id)
 		p.queue.Remove(r.Team, id)
 		p.accounts.SetWaiting(now, r.Team, p.queue.Waiting(r.Team))
-		n.do(Refuse{Request: id, Reason: ShuttingDown, RetryAfter: minRetryAfter})
+		n.emit(Refuse{Request: id, Reason: ShuttingDown, RetryAfter: minRetryAfter})
 	}
-	n.refresh(now)
-	n.giveBack(now)
-	n.urgentAll()
+	n.refreshLive(now)
+	n.returnAllIdle(now)
+	n.markAllUrgent()
 	n.flush(now)
 }
 
-// giveBack returns every idle slot to its home.
-func (n *Node) giveBack(now time.Time) {
+// returnAllIdle returns every idle slot to its home.
+func (n *Node) returnAllIdle(now time.Time) {
 	for _, p := range n.pools {
 		for _, u := range p.upstreams {
-			n.giveUp(u, u.holding.Idle(now))
+			n.returnSlots(u, u.holder.Idle(now))
 		}
 	}
 }
--- a/sched/send.go
+++ b/sched/send.go
@@ -10,23 +10,23 @@
 func (n *Node) flush(now time.Time) {
 	for _, name := range slices.Sorted(maps.Keys(n.links)) {
 		l := n.links[name]
-		if l.pending() || len(l.due) > 0 || now.Sub(l.sentAt) >= n.cfg.Heartbeat {
+		if l.needsSend() || len(l.pendingEntries) > 0 || now.Sub(l.sentAt) >= n.cfg.Heartbeat {
 			n.send(now, l)
 		}
 	}
 }
 
 func (n *Node) send(now time.Time, l *link) {
-	l.seq++
-	l.times[l.seq] = now
+	l.lastSent++
+	l.unackedSentAt[l.lastSent] = now
 	l.sentAt = now
 	s := Sync{
 		From: n.cfg.Router, Incarnation: n.cfg.Incarnation, ToIncarnation: l.incarnation,
-		Seq: l.seq, LiveHash: n.liveHash, Missed: l.missed, Joining: !n.joined, Leaving: n.leaving,
+		Seq: l.lastSent, LiveHash: n.liveHash, Missed: l.requestFull, Joining: !n.joined, Leaving: n.leaving,
 	}
 	if l.urgent || now.Sub(l.ackSentAt) >= n.cfg.Heartbeat {
 		// Leases live for several heartbeats, so more would only cost bytes.
-		s.Ack = l.heard
+		s.Ack = l.lastReceived
 		l.ackSentAt = now
 	}
 	for _, id := range slices.Sorted(maps.Keys(n.pools)) {
@@ -34,27 +34,27 @@
 			s.Pools = append(s.Pools, part)
 		}
 	}
-	l.sent()
-	n.do(Send{To: l.name, Sync: s})
+	l.clearPending()
+	n.emit(Send{To: l.name, Sync: s})
 }
 
 func (n *Node) poolSync(now time.Time, p *pool, l *link) PoolSync {
-	part := PoolSync{Pool: p.id, Entries: l.due[p.id]}
-	if l.full {
+	part := PoolSync{Pool: p.id, Entries: l.pendingEntries[p.id]}
+	if l.sendFull {
 		part.Entries = p.accounts.AllEntries(now)
 	}
-	if l.snapshot {
+	if l.sendSnapshot {
 		s := p.accounts.Snapshot(now)
 		part.Snapshot = &s
 	}
 	for _, u := range p.upstreams {
-		if u.book != nil && (l.grants[u.ID] || l.full) {
-			if g, ok := u.book.CurrentGrant(l.name, l.incarnation); ok {
+		if u.table != nil && (l.grants[u.ID] || l.sendFull) {
+			if g, ok := u.table.CurrentGrant(l.name, l.incarnation); ok {
 				part.Grants = append(part.Grants, g)
 			}
 		}
-		if u.holding.Home() == l.name && (l.reports[u.ID] || l.full) {
-			if r, ok := u.holding.Report(); ok {
+		if u.holder.Home() == l.name && (l.reports[u.ID] || l.sendFull) {
+			if r, ok := u.holder.Report(); ok {
 				part.Reports = append(part.Reports, r)
 			}
 		}
--- a/sched/tick.go
+++ b/sched/tick.go
@@ -8,22 +8,22 @@
 
 // Tick does what time alone brings about. Call it every 50 to 100 ms.
 func (n *Node) Tick(now time.Time) {
-	if now.Sub(n.tickedAt) >= n.cfg.LeaseTTL {
-		n.woke(now)
+	if now.Sub(n.lastTickAt) >= n.cfg.LeaseTTL {
+		n.resumeAfterPause(now)
 	}
-	n.tickedAt = now
+	n.lastTickAt = now
 	for _, name := range n.view.Peers(now) {
 		n.linkTo(name)
 	}
-	n.refresh(now)
+	n.refreshLive(now)
 	// Where every router starts at once nobody has a snapshot to give.
 	n.joined = n.joined || now.Sub(n.startedAt) > 2*n.cfg.Heartbeat
 	for _, id := range slices.Sorted(maps.Keys(n.pools)) {
 		n.tickPool(now, n.pools[id])
 	}
-	n.dropLate(now)
-	n.askAgain(now)
-	n.reportDue(now)
+	n.refuseExpired(now)
+	n.retrySlotRequest(now)
+	n.reportIfDue(now)
 	n.flush(now)
 	n.redialSilent(now)
 }
@@ -41,56 +41,56 @@
 		}
 		l.redialedAt = now
 		l.urgent = true
-		n.do(Redial{To: name})
+		n.emit(Redial{To: name})
 	}
 }
 
-// woke begins again after a pause of a lease time or more. The peers have
+// resumeAfterPause begins again after a pause of a lease time or more. The peers have
 // re-homed this router's upstreams and may have granted every slot, so its own
 // books are void like its leases; without this a paused home would send on
 // slots that it granted itself before the pause.
-func (n *Node) woke(now time.Time) {
-	n.tickedAt = now
+func (n *Node) resumeAfterPause(now time.Time) {
+	n.lastTickAt = now
 	for _, p := range n.pools {
 		for _, u := range p.upstreams {
-			u.holding.Expire(now)
-			n.dropBook(u)
+			u.holder.Expire(now)
+			n.dropTable(u)
 		}
 	}
-	n.unsettleAll()
-	n.rehome(now)
+	n.resetConvergenceAll()
+	n.assignHomes(now)
 }
 
 func (n *Node) tickPool(now time.Time, p *pool) {
 	p.accounts.ClampLag(now)
 	for _, u := range p.upstreams {
-		if u.book != nil {
-			u.book.Renew(n.cfg.Router, n.cfg.Incarnation, n.ownLease())
-			u.holding.Extend(n.ownLease())
-			u.book.Expire(now)
+		if u.table != nil {
+			u.table.Renew(n.cfg.Router, n.cfg.Incarnation, n.ownLeaseExpiry())
+			u.holder.Extend(n.ownLeaseExpiry())
+			u.table.Expire(now)
 			n.setLimit(now, u)
-			if u.holding.ClaimPending() {
-				n.reportSelf(u)
+			if u.holder.ClaimPending() {
+				n.reportLocal(u)
 			}
 			continue
 		}
-		if u.holding.Expire(now) || u.holding.ClaimPending() {
-			n.claim(u)
+		if u.holder.Expire(now) || u.holder.ClaimPending() {
+			n.queueClaim(u)
 		}
 	}
-	n.wake(now, p)
-	n.park(now, p)
-	n.wake(now, p)
+	n.schedule(now, p)
+	n.distributeFree(now, p)
+	n.schedule(now, p)
 }
 
-func (n *Node) claim(u *upstream) {
-	if home := u.holding.Home(); home != "" && n.view.Incarnation(home) != 0 {
+func (n *Node) queueClaim(u *upstream) {
+	if home := u.holder.Home(); home != "" && n.view.Incarnation(home) != 0 {
 		n.linkTo(home).reports[u.ID] = true
 	}
 }
 
-// dropLate refuses waiting requests whose deadline has passed.
-func (n *Node) dropLate(now time.Time) {
+// refuseExpired refuses waiting requests whose deadline has passed.
+func (n *Node) refuseExpired(now time.Time) {
 	for _, id := range slices.Sorted(maps.Keys(n.requests)) {
 		r := n.requests[id]
 		if r.Deadline.IsZero() || now.Before(r.Deadline) {
@@ -100,6 +100,6 @@
 		delete(n.requests, id)
 		p.queue.Remove(r.Team, id)
 		p.accounts.SetWaiting(now, r.Team, p.queue.Waiting(r.Team))
-		n.do(Refuse{Request: id, Reason: DeadlinePassed, RetryAfter: n.retryAfter(p, r.Team)})
+		n.emit(Refuse{Request: id, Reason: DeadlinePassed, RetryAfter: n.retryAfter(p, r.Team)})
 	}
 }
