--- a/lease/doc.go
+++ b/lease/doc.go
@@ -1,18 +1,21 @@
-// Package lease says which router may use which slots of an upstream.
+// Package lease implements the leases that decide which router may use which
+// slots of an upstream.
 //
-// Every upstream has a home: the live router that rendezvous hashing picks. The
-// home's Book grants slots; a router's Holding uses, parks and returns them.
-// Both sides keep counters that only grow (granted by the home, returned by the
-// holder), so messages may be lost, doubled or late without a slot being made
-// or forgotten; a term numbers each relation between a book and a holder, and
-// counters of another term are void. After Gray and Cheriton, "Leases: an
-// efficient fault-tolerant mechanism for distributed file cache consistency",
-// SOSP 1989.
+// Every upstream has a home: the live router selected by rendezvous hashing. The
+// home's Table grants slots; a router's Holder uses them, keeps them idle and
+// returns them. Both sides keep counters that only grow (granted by the home,
+// returned by the holder), so messages may be lost, duplicated or delayed
+// without creating or losing a slot. A term numbers each relation between a
+// table and a holder, and counters of another term are void. See Gray and
+// Cheriton, "Leases: an efficient fault-tolerant mechanism for distributed file
+// cache consistency", SOSP 1989.
 //
-// Safety: a holder counts its lease from when it sent the message that the home
-// acknowledged, the home from when that message came. The holder's lease
-// therefore ends first, on every pair of clocks that run at about the same
-// rate, and a process that was paused finds it ended before it sends anything.
+// Safety: a holder measures its lease from the time it sent the message that the
+// home acknowledged; the home measures it from the time it received that
+// message. The holder's lease therefore ends first, provided that both clocks
+// run at about the same rate, and a process that was paused finds its lease
+// expired before it sends anything.
 //
-// The package is pure: the time is an argument everywhere.
+// The package is pure: it reads no clock, and methods that need the time take it
+// as an argument.
 package lease
--- a/lease/holder.go
+++ b/lease/holder.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Holder is one router's slots of one upstream.
+// Holder is one router's state of the slots that it holds on one upstream.
 //
 // Invariant: a request is sent only on a slot that is held, idle, and under a
-// lease that has not ended; inUse counts every request on the upstream, also
-// those whose lease ended while they ran.
+// lease that has not ended. inUse counts every request on the upstream,
+// including those whose lease ended while they ran.
 type Holder struct {
 	upstream int
 	// home is the router that grants the slots now, homeIncarnation its
@@ -21,29 +21,29 @@
 	expiry          time.Time
 }
 
-// NewHolder returns a holding without slots.
+// NewHolder returns a holder without slots.
 func NewHolder(upstream int) *Holder { return &Holder{upstream: upstream} }
 
-// Home is the router that grants the slots.
+// Home returns the router that grants the slots.
 func (h *Holder) Home() string { return h.home }
 
-// HomeIncarnation is the incarnation of that router.
+// HomeIncarnation returns the incarnation of that router.
 func (h *Holder) HomeIncarnation() uint64 { return h.homeIncarnation }
 
-// Held is the number of slots, idle or in use.
+// Held returns the number of slots, idle or in use.
 func (h *Holder) Held() int { return int(h.granted - h.returned) }
 
-// LeaseExpiry is when the lease ends.
+// LeaseExpiry returns the end of the lease.
 func (h *Holder) LeaseExpiry() time.Time { return h.expiry }
 
-// InUse is the number of requests on the upstream.
+// InUse returns the number of requests on the upstream.
 func (h *Holder) InUse() int { return h.inUse }
 
-// Idle is the number of slots that a request may be sent on now.
+// Idle returns the number of slots on which a request may be sent now.
 //
-// The check of the end comes first: a process that was paused past it would
-// otherwise send on a slot that the home has given to another router, and the
-// upstream would run more than its limit.
+// The expiry is checked first: a process that was paused past it would otherwise
+// send on a slot that the home has granted to another router, and the upstream
+// would run more requests than its limit.
 func (h *Holder) Idle(now time.Time) int {
 	if !now.Before(h.expiry) {
 		return 0
@@ -51,14 +51,14 @@
 	return max(h.Held()-h.inUse, 0)
 }
 
-// Acquire takes an idle slot for a request; the caller has checked Idle.
+// Acquire uses an idle slot for a request. The caller must have checked Idle.
 func (h *Holder) Acquire() { h.inUse++ }
 
 // Release frees the slot of a request that ended.
 func (h *Holder) Release() { h.inUse-- }
 
-// Return gives n idle slots back to the home. It fails while no term covers
-// them: the new home must take in the claim first.
+// Return returns n idle slots to the home. It fails while no term covers them:
+// the new home must accept the claim first.
 func (h *Holder) Return(n int) bool {
 	if h.term == 0 || n > h.Held()-h.inUse {
 		return false
@@ -67,8 +67,8 @@
 	return true
 }
 
-// SetHome names the router that grants the slots from now on. Slots held are
-// kept until their lease ends and claimed from the new home.
+// SetHome sets the router that grants the slots from now on. Held slots are kept
+// until their lease ends, and are claimed from the new home.
 func (h *Holder) SetHome(home string, incarnation uint64) {
 	if h.home == home && h.homeIncarnation == incarnation {
 		return
@@ -83,7 +83,7 @@
 	h.returned, h.recalled, h.term = 0, 0, 0
 }
 
-// ApplyGrant takes in the home's word. It returns true if anything changed.
+// ApplyGrant applies the home's message. It returns true if anything changed.
 func (h *Holder) ApplyGrant(g Grant) bool {
 	if g.Term < h.term {
 		return false
@@ -101,19 +101,21 @@
 	return true
 }
 
-// Recalled is the number of slots that must go back as they fall idle.
+// Recalled returns the number of slots that must be returned as they become
+// idle.
 func (h *Holder) Recalled() int { return int(max(h.recalled, h.returned) - h.returned) }
 
-// Extend sets the end of the lease after an acknowledged message that was sent
-// one lease time before until.
-func (h *Holder) Extend(until time.Time) {
-	if h.term != 0 && until.After(h.expiry) {
-		h.expiry = until
+// Extend extends the lease to expiry, which is one lease time after an
+// acknowledged message was sent.
+func (h *Holder) Extend(expiry time.Time) {
+	if h.term != 0 && expiry.After(h.expiry) {
+		h.expiry = expiry
 	}
 }
 
-// Expire gives up slots whose lease has ended. Requests that run go on and are
-// claimed, so that the home counts them again.
+// Expire gives up slots whose lease has ended. Running requests continue, and
+// their slots are claimed so that the home counts them again. It returns true if
+// there were slots to give up.
 func (h *Holder) Expire(now time.Time) bool {
 	if now.Before(h.expiry) || h.Held() == 0 {
 		return false
@@ -123,7 +125,8 @@
 	return true
 }
 
-// Report is what the home must know. ok is false when there is nothing to say.
+// Report returns the report for the home. ok is false if there is nothing to
+// report.
 func (h *Holder) Report() (r Report, ok bool) {
 	r = Report{Upstream: h.upstream, Term: h.term, Returned: h.returned}
 	if h.term != 0 {
@@ -133,5 +136,6 @@
 	return r, r.Claim > 0
 }
 
-// ClaimPending reports whether the slots wait for a new home's word.
+// ClaimPending reports whether there are slots that the new home has not yet
+// accepted.
 func (h *Holder) ClaimPending() bool { return h.term == 0 && max(h.Held(), h.inUse) > 0 }
--- a/lease/rapid_test.go
+++ b/lease/rapid_test.go
@@ -2,8 +2,8 @@
 
 import "flag"
 
-// CI must give the same verdict each time, so the properties are checked on the
-// same draws; -rapid.seed asks for others.
+// Property tests use a fixed seed, so that CI gives the same verdict on every
+// run; override it with -rapid.seed.
 func init() {
 	_ = flag.Set("rapid.seed", "20261202")
 	_ = flag.Set("rapid.nofailfile", "true")
--- a/lease/table.go
+++ b/lease/table.go
@@ -6,17 +6,20 @@
 	"time"
 )
 
-// Grant is what a home tells a holder: the slots granted so far in a term.
+// Grant is the message of a home to a holder: the total of slots granted so far
+// in a term.
 type Grant struct {
 	Upstream int    `json:"u"`
 	Term     uint64 `json:"t"`
 	Granted  uint64 `json:"g"`
-	// Recalled is how many of the granted slots must come back as they fall idle.
+	// Recalled is how many of the granted slots must be returned as they become
+	// idle.
 	Recalled uint64 `json:"r,omitempty"`
 }
 
-// Report is what a holder tells the home: the slots returned so far in a term.
-// With term 0 it is a claim: the holder has Claim slots that no term covers.
+// Report is the message of a holder to the home: the total of slots returned so
+// far in a term. With term 0 it is a claim: the holder has Claim slots that no
+// term covers.
 type Report struct {
 	Upstream int    `json:"u"`
 	Term     uint64 `json:"t,omitempty"`
@@ -24,7 +27,7 @@
 	Claim    int    `json:"c,omitempty"`
 }
 
-// holderRecord is a book's side of one relation.
+// holderRecord is the table's state of one holder.
 type holderRecord struct {
 	incarnation uint64
 	term        uint64
@@ -36,22 +39,23 @@
 
 func (h *holderRecord) held() int { return int(h.granted - h.returned) }
 
-// Table is the lease book of one upstream at its home.
+// Table is the lease table of one upstream at its home.
 //
-// Invariant: while the book is open, the slots it believes granted and those it
-// calls free add up to the limit, or free is zero and more are granted.
+// Invariant: after the grace period, granted and free slots add up to the limit,
+// or no slot is free and more than the limit are granted.
 type Table struct {
 	upstream int
 	limit    int
-	// graceEnd is when slots that nobody claimed count as free.
+	// graceEnd is the end of the grace period, during which no slot is granted.
+	// Slots that no holder has claimed by then count as free.
 	graceEnd time.Time
 	lastTerm uint64
 	holders  map[string]*holderRecord
 }
 
-// NewTable returns the book of a home that begins now. Slots that an earlier
-// home may have granted stay closed until opensAt, one lease time ahead: a
-// holder cut off from this home could still use them until then.
+// NewTable returns the table of a router that becomes home now. Slots that an
+// earlier home may have granted are not available until graceEnd, one lease time
+// ahead: a holder that cannot reach this home could still use them until then.
 func NewTable(upstream, limit int, firstTerm uint64, opensAt time.Time) *Table {
 	return &Table{
 		upstream: upstream,
@@ -62,75 +66,78 @@
 	}
 }
 
-// EndGrace ends the wait for an earlier home's leases; the caller knows all holders.
-func (b *Table) EndGrace(now time.Time) {
-	if now.Before(b.graceEnd) {
-		b.graceEnd = now
+// EndGrace ends the grace period early. The caller must have ensured that all
+// holders have claimed their slots.
+func (t *Table) EndGrace(now time.Time) {
+	if now.Before(t.graceEnd) {
+		t.graceEnd = now
 	}
 }
 
-// SetLimit changes how many slots the upstream has.
-func (b *Table) SetLimit(n int) { b.limit = n }
+// SetLimit sets the number of slots of the upstream.
+func (t *Table) SetLimit(n int) { t.limit = n }
 
-// LastTerm is the last term begun; the next book of this home starts after it.
-func (b *Table) LastTerm() uint64 { return b.lastTerm }
+// LastTerm returns the last term in use; the next table of this home starts
+// after it.
+func (t *Table) LastTerm() uint64 { return t.lastTerm }
 
-// Limit is the number of slots.
-func (b *Table) Limit() int { return b.limit }
+// Limit returns the number of slots of the upstream.
+func (t *Table) Limit() int { return t.limit }
 
-// Granted is the number of slots that holders have or may have.
-func (b *Table) Granted() int {
+// Granted returns the number of slots that holders have or may have.
+func (t *Table) Granted() int {
 	n := 0
-	for _, h := range b.holders {
+	for _, h := range t.holders {
 		n += h.held()
 	}
 	return n
 }
 
-// Free is the number of slots that may be granted now.
-func (b *Table) Free(now time.Time) int {
-	if now.Before(b.graceEnd) {
+// Free returns the number of slots that may be granted now.
+func (t *Table) Free(now time.Time) int {
+	if now.Before(t.graceEnd) {
 		return 0
 	}
-	return max(b.limit-b.Granted(), 0)
+	return max(t.limit-t.Granted(), 0)
 }
 
-// Grant gives n slots to a router and returns what to tell it. The caller has
-// checked Free.
-func (b *Table) Grant(router string, incarnation uint64, n int, until time.Time) Grant {
-	h := b.recordFor(router, incarnation, until)
+// Grant grants n more slots to a router and returns the message for it. The
+// caller must have checked Free.
+func (t *Table) Grant(router string, incarnation uint64, n int, expiry time.Time) Grant {
+	h := t.recordFor(router, incarnation, expiry)
 	h.granted += uint64(n)
-	return b.grantFor(h)
+	return t.grantFor(h)
 }
 
-// grantFor is what a holder is told.
-func (b *Table) grantFor(h *holderRecord) Grant {
-	return Grant{Upstream: b.upstream, Term: h.term, Granted: h.granted, Recalled: h.recalled}
+// grantFor returns the message with the current counters of a holder.
+func (t *Table) grantFor(h *holderRecord) Grant {
+	return Grant{Upstream: t.upstream, Term: h.term, Granted: h.granted, Recalled: h.recalled}
 }
 
-// Recall asks the routers with most slots to give back what is granted beyond
-// the limit, and returns those that must be told. A slot comes back when its
-// request ends, so a smaller limit cuts nothing.
-func (b *Table) Recall() []string {
-	var told []string
-	for excess := b.Granted() - b.pendingRecalls() - b.limit; excess > 0; excess-- {
-		name := b.largestHolder()
+// Recall recalls the slots granted beyond the limit, from the routers with the
+// most slots first, and returns the routers to notify. A slot is returned when
+// its request ends, so lowering the limit interrupts no request.
+func (t *Table) Recall() []string {
+	var notify []string
+	for excess := t.Granted() - t.pendingRecalls() - t.limit; excess > 0; excess-- {
+		name := t.largestHolder()
 		if name == "" {
 			break
 		}
-		h := b.holders[name]
+		h := t.holders[name]
 		h.recalled = max(h.recalled, h.returned) + 1
-		if !slices.Contains(told, name) {
-			told = append(told, name)
+		if !slices.Contains(notify, name) {
+			notify = append(notify, name)
 		}
 	}
-	return told
+	return notify
 }
 
-// pendingRecalls counts slots that were recalled and have not come back yet.
-func (b *Table) pendingRecalls() int {
+// pendingRecalls returns the number of slots that were recalled and not yet
+// returned.
+func (t *Table) pendingRecalls() int {
 	n := 0
-	for _, h := range b.holders {
+	for _, h := range t.holders {
 		n += h.pendingRecalls()
 	}
 	return n
@@ -138,11 +145,11 @@
 
 func (h *holderRecord) pendingRecalls() int { return int(max(h.recalled, h.returned) - h.returned) }
 
-// largestHolder is the router with most slots that are not recalled.
-func (b *Table) largestHolder() string {
+// largestHolder returns the router with the most slots that are not recalled.
+func (t *Table) largestHolder() string {
 	name, most := "", 0
-	for _, router := range b.Holders() {
-		h := b.holders[router]
+	for _, router := range t.Holders() {
+		h := t.holders[router]
 		if n := h.held() - h.pendingRecalls(); n > most {
 			name, most = router, n
 		}
@@ -150,35 +157,36 @@
 	return name
 }
 
-// CurrentGrant returns the grant in force for a router, to be told again.
-func (b *Table) CurrentGrant(router string, incarnation uint64) (Grant, bool) {
-	h, ok := b.holders[router]
+// CurrentGrant returns the current grant of a router, for retransmission.
+func (t *Table) CurrentGrant(router string, incarnation uint64) (Grant, bool) {
+	h, ok := t.holders[router]
 	if !ok || h.incarnation != incarnation {
 		return Grant{}, false
 	}
-	return b.grantFor(h), true
+	return t.grantFor(h), true
 }
 
-// recordFor returns the relation with the router's incarnation, a new one where
-// there is none. What an earlier incarnation held is void: it ended with the
+// recordFor returns the record of the router's incarnation, and creates it if
+// there is none. Slots of an earlier incarnation are void: they ended with its
 // process.
-func (b *Table) recordFor(router string, incarnation uint64, until time.Time) *holderRecord {
-	h, ok := b.holders[router]
+func (t *Table) recordFor(router string, incarnation uint64, expiry time.Time) *holderRecord {
+	h, ok := t.holders[router]
 	if ok && h.incarnation == incarnation {
 		return h
 	}
-	b.lastTerm++
-	h = &holderRecord{incarnation: incarnation, term: b.lastTerm, expiry: until}
-	b.holders[router] = h
+	t.lastTerm++
+	h = &holderRecord{incarnation: incarnation, term: t.lastTerm, expiry: expiry}
+	t.holders[router] = h
 	return h
 }
 
-// ApplyReport takes in what a holder says. It returns the grant to answer a claim with.
-func (b *Table) ApplyReport(router string, incarnation uint64, r Report, until time.Time) (Grant, bool) {
+// ApplyReport applies a holder's report. For a claim it returns the grant to
+// answer with and true.
+func (t *Table) ApplyReport(router string, incarnation uint64, r Report, expiry time.Time) (Grant, bool) {
 	if r.Term == 0 {
-		return b.acceptClaim(router, incarnation, r.Claim, until), true
+		return t.acceptClaim(router, incarnation, r.Claim, expiry), true
 	}
-	h, ok := b.holders[router]
+	h, ok := t.holders[router]
 	if !ok || h.incarnation != incarnation || h.term != r.Term {
 		return Grant{}, false
 	}
@@ -186,37 +194,39 @@
 	return Grant{}, false
 }
 
-// acceptClaim begins a new term with what the holder says it has: it alone knows.
-func (b *Table) acceptClaim(router string, incarnation uint64, n int, until time.Time) Grant {
-	delete(b.holders, router)
-	h := b.recordFor(router, incarnation, until)
+// acceptClaim starts a new term with the slots that the holder reports: only the
+// holder has this state.
+func (t *Table) acceptClaim(router string, incarnation uint64, n int, expiry time.Time) Grant {
+	delete(t.holders, router)
+	h := t.recordFor(router, incarnation, expiry)
 	h.granted = uint64(max(n, 0))
-	return b.grantFor(h)
+	return t.grantFor(h)
 }
 
-// Renew extends every slot of the router: it was heard at until less a lease time.
-func (b *Table) Renew(router string, incarnation uint64, until time.Time) {
-	if h, ok := b.holders[router]; ok && h.incarnation == incarnation && until.After(h.expiry) {
-		h.expiry = until
+// Renew extends the lease of the router's slots to expiry, which is one lease
+// time after its last message.
+func (t *Table) Renew(router string, incarnation uint64, expiry time.Time) {
+	if h, ok := t.holders[router]; ok && h.incarnation == incarnation && expiry.After(h.expiry) {
+		h.expiry = expiry
 	}
 }
 
-// Expire takes back the slots of routers that were not heard for a lease time.
-// Their own leases ended before, so they send nothing more on these slots.
-func (b *Table) Expire(now time.Time) {
-	for name, h := range b.holders {
+// Expire frees the slots of routers that have been silent for a lease time.
+// Their own leases ended earlier, so they send no more requests on these slots.
+func (t *Table) Expire(now time.Time) {
+	for name, h := range t.holders {
 		if now.After(h.expiry) {
-			delete(b.holders, name)
+			delete(t.holders, name)
 		}
 	}
 }
 
-// Holders returns the routers that hold slots, sorted.
-func (b *Table) Holders() []string { return slices.Sorted(maps.Keys(b.holders)) }
+// Holders returns the routers that hold slots, sorted by name.
+func (t *Table) Holders() []string { return slices.Sorted(maps.Keys(t.holders)) }
 
-// Held is the number of slots a router has.
-func (b *Table) Held(router string) int {
-	if h, ok := b.holders[router]; ok {
+// Held returns the number of slots of a router.
+func (t *Table) Held(router string) int {
+	if h, ok := t.holders[router]; ok {
 		return h.held()
 	}
 	return 0
