--- a/sched/action.go
+++ b/sched/action.go
@@ -2,32 +2,33 @@
 
 import "time"
 
-// Action is something the owner of a Node must do: a Dispatch,
-// a Refuse, a Send or a Redial.
+// Action is an instruction to the owner of a Node: a Dispatch, a Refuse, a Send
+// or a Redial.
 type Action interface{ action() }
 
-// Dispatch sends a request to an upstream now.
+// Dispatch sends a request to an upstream.
 type Dispatch struct {
 	Request  RequestID
 	Upstream int
-	// LeaseExpiry is the end of the lease that the slot is under. Check it at the last
-	// moment before sending.
+	// LeaseExpiry is the end of the lease of the slot. The owner must check it
+	// immediately before sending.
 	LeaseExpiry time.Time
 }
 
-// Redial replaces the connection to a peer that doesn't acknowledge: it may
-// have gone silent while new ones work.
+// Redial replaces the connection to a peer that doesn't acknowledge messages:
+// the connection may have stopped working while a new one would succeed.
 type Redial struct{ To string }
 
-// Refuse answers a request as not run, at once.
+// Refuse rejects a request immediately, with the outcome that it did not run.
 type Refuse struct {
 	Request RequestID
 	Reason  Reason
-	// RetryAfter is when the caller may come back, from the measured drain rate.
+	// RetryAfter is the delay before the caller should retry, from the measured
+	// drain rate.
 	RetryAfter time.Duration
 }
 
-// Send passes a message to a peer.
+// Send sends a message to a peer.
 type Send struct {
 	To   string
 	Sync Sync
@@ -41,7 +42,7 @@
 // Reason is why a request was refused.
 type Reason string
 
-// Reasons for a refusal; all of them mean that the request did not run.
+// Reasons for a refusal; with each of them the request did not run.
 const (
 	QueueFull      Reason = "queue-full"
 	DeadlinePassed Reason = "deadline"
--- a/sched/config.go
+++ b/sched/config.go
@@ -6,39 +6,41 @@
 	"github.com/aspenswitch/aspenswitch/fairness"
 )
 
-// Config tunes a Node. The defaults are what `make bench` measured best.
+// Config tunes a Node. The defaults gave the best results in `make bench`.
 type Config struct {
 	// Router is the name of this router's VM.
 	Router string
-	// Incarnation is new with each start of the process and never 0.
+	// Incarnation differs for each start of the process and is never 0.
 	Incarnation uint64
 	// Fairness tunes the accounts.
 	Fairness fairness.Config
-	// Hysteresis is how far, in mean costs per unit of share, a holder's best
+	// Hysteresis is how far, in mean costs per unit of share, a holder's next
 	// team may be ahead of the fleet's least served waiting team before an idle
-	// slot moves there. Lower narrows the fairness gap; higher saves control
-	// bytes and the round trip that a moving slot is idle.
+	// slot moves there. A lower value narrows the fairness gap; a higher value
+	// saves control bytes and the round trip during which a moving slot is idle.
 	Hysteresis float64
-	// ReportEvery is the shortest time between two reports of accounts. Longer
-	// gathers more into one message; the accounts are extrapolated meanwhile.
+	// ReportEvery is the minimum time between two reports of accounts. A longer
+	// interval puts more into one message; peers extrapolate the accounts in the
+	// meantime.
 	ReportEvery time.Duration
-	// SlotRequestSpacing is the shortest time between two asks for slots, in mean costs,
-	// while requests of this router run in the pool. Longer saves control bytes
-	// where the fleet is just full; a request may wait so much longer beside
-	// another's idle slot.
+	// SlotRequestSpacing is the minimum time between two requests for slots, in
+	// mean costs, while requests of this router run in the pool. A higher value
+	// saves control bytes when the fleet is just saturated; a request may wait
+	// for that much longer while another router has an idle slot.
 	SlotRequestSpacing float64
-	// Heartbeat is the longest time between two messages to a peer. A lease
-	// lives for LeaseTTL after one, so it must be a small part of that.
+	// Heartbeat is the maximum time between two messages to a peer. A lease ends
+	// LeaseTTL after a message, so Heartbeat must be a small part of LeaseTTL.
 	Heartbeat time.Duration
-	// LeaseTTL is how long a slot stays leased after the last message. Shorter
-	// frees a dead router's slots sooner; a router that pauses for longer loses
-	// its slots.
+	// LeaseTTL is how long a slot stays leased after the last message. A shorter
+	// time frees the slots of a failed router sooner; a router that pauses for
+	// longer than LeaseTTL loses its slots.
 	LeaseTTL time.Duration
-	// SuspectAfter is the silence after which a router is no home any more.
+	// SuspectAfter is the silence after which a router is no longer a home.
 	SuspectAfter time.Duration
-	// QueuePerTeam bounds the requests of one team that wait at this router.
+	// QueuePerTeam is the maximum number of requests of one team that wait at
+	// this router.
 	QueuePerTeam int
-	// MeanCost is assumed, in slot seconds, until requests have ended.
+	// MeanCost is the initial estimate of a request's cost, in slot seconds.
 	MeanCost float64
 }
 
--- a/sched/dump.go
+++ b/sched/dump.go
@@ -8,7 +8,7 @@
 	"github.com/aspenswitch/aspenswitch/fairness"
 )
 
-// Dump is a node's whole state for operators.
+// Dump is the complete state of a node, for operators.
 type Dump struct {
 	Router      string     `json:"router"`
 	Incarnation uint64     `json:"incarnation"`
@@ -21,7 +21,7 @@
 	Peers       []PeerDump `json:"peers"`
 }
 
-// PoolDump is one pool's state.
+// PoolDump is the state of one pool.
 type PoolDump struct {
 	Pool      int                 `json:"pool"`
 	MeanCost  float64             `json:"meanCostSeconds"`
@@ -29,7 +29,7 @@
 	Upstreams []UpstreamDump      `json:"upstreams"`
 }
 
-// UpstreamDump is one upstream as this router sees it.
+// UpstreamDump is the state of one upstream at this router.
 type UpstreamDump struct {
 	Upstream   int     `json:"upstream"`
 	Home       string  `json:"home"`
@@ -45,7 +45,7 @@
 	AvoidedFor float64 `json:"avoidedForSeconds,omitempty"`
 }
 
-// PeerDump is one link's state.
+// PeerDump is the state of the link to one peer.
 type PeerDump struct {
 	Peer            string  `json:"peer"`
 	Incarnation     uint64  `json:"incarnation"`
--- a/sched/failure_test.go
+++ b/sched/failure_test.go
@@ -10,20 +10,20 @@
 	"github.com/aspenswitch/aspenswitch/sched"
 )
 
-// A cold start: all routers start at once, and none has anything to tell the
-// others. Callers see nothing; an operator saw 10,000 messages in two seconds,
-// since each answered the other's wish to join with its own.
+// All routers start at once, so none has a snapshot to send. Each used to answer
+// the other's join request with its own, which caused 10,000 messages in two
+// seconds without any effect visible to callers.
 func TestColdStartSendsFewMessages(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(t, 7, 4, 4)
 	f.run(3 * time.Second)
-	// Each of 42 links sends heartbeats and a few words on leases.
+	// Each of 42 links sends heartbeats and a few lease messages.
 	g.Expect(f.messages).To(BeNumerically("<", 42*20))
 }
 
-// A team floods one router while another team's requests come to a different
-// one. The flood fills its own queue and is refused beyond it with the time to
-// come back; the small team is served at once as slots fall free.
+// One team floods a router while another team's requests arrive at a different
+// one. The flood must fill only its own queue and be refused beyond it with a
+// retry delay; the small team must be served as soon as slots become free.
 func TestFloodFillsOnlyItsOwnQueue(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(t, 3, 3, 4)
@@ -49,8 +49,9 @@
 	}
 }
 
-// Two teams wait at different routers, each with more work than it is owed. In
-// the end both have had the same slot time, although each router sees only one.
+// Two teams wait at different routers, each with more requests than its share.
+// Both must end up with the same slot time, although each router receives
+// requests of only one team.
 func TestTeamsAtDifferentRoutersGetEqualService(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(t, 3, 3, 4)
@@ -65,9 +66,9 @@
 	g.Expect(one + two).To(BeNumerically(">", 0.97*float64(f.slots())*20))
 }
 
-// All slots are parked idle over the routers when one router gets a burst. Its
-// requests must run on the others' slots within a round trip or two: a slot that
-// stood idle meanwhile is a van that waits.
+// All slots are idle and spread over the routers when one router receives a
+// burst. Its requests must run on the other routers' slots within a few round
+// trips; a slot that stays idle longer delays callers.
 func TestIdleSlotsGoWhereWorkWaits(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(t, 4, 4, 4)
@@ -79,9 +80,9 @@
 	g.Expect(f.busy(0)).To(Equal(f.slots()))
 }
 
-// One router gets one request after another, each longer than the test, while all
-// other routers are idle. It must ask for every one that finds no slot here, and
-// not only for the first: the others wait beside idle slots otherwise.
+// One router receives requests one by one, each longer than the test, while all
+// other routers are idle. It must request a slot for every one that finds none
+// here, not only for the first; otherwise the others wait while slots are idle.
 func TestEveryFurtherRequestFindsAnIdleSlot(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(t, 4, 4, 4)
@@ -89,12 +90,13 @@
 	for n := range f.slots() {
 		id := f.arrive(0, 1)
 		f.run(100 * time.Millisecond)
-		g.Expect(f.running[id].startedAt.IsZero()).To(BeFalse(), "request %d waits beside idle slots", n+1)
+		g.Expect(f.running[id].startedAt.IsZero()).To(BeFalse(), "request %d waits while slots are idle", n+1)
 	}
 }
 
-// A router is killed under load. The others' slots go on, its homes move, and
-// within one lease time and the time to suspect it every slot is in use again.
+// A router is killed under load. The other routers' slots must stay in use, its
+// homes must move, and every slot must be in use again within SuspectAfter plus
+// LeaseTTL and two heartbeats.
 func TestKilledRoutersSlotsComeBackWithinALease(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(t, 4, 4, 4)
@@ -115,9 +117,9 @@
 	}
 }
 
-// A router is frozen for longer than a lease and woken. The others have taken
-// its slots meanwhile. It must not send on the slots that it held, though its
-// queue is full and nothing told it that time has passed.
+// A router is paused for longer than a lease and resumed; other routers have its
+// slots by then. It must not send on the slots that it held, although its queue
+// is full and it has not yet processed a tick.
 func TestRouterWokenLateSendsNothingOnOldLeases(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(t, 3, 3, 4)
@@ -131,7 +133,7 @@
 	})
 	f.paused[2] = false
 	before := f.lastID
-	// The first thing that the woken router sees is a request, before any tick.
+	// The first event at the resumed router is a request, before any tick.
 	for range 4 {
 		f.arrive(2, 2)
 	}
@@ -145,9 +147,9 @@
 	}
 }
 
-// A router that is home of upstreams is frozen and woken. It granted itself
-// slots before, and by its own clock's last tick they still run; its first tick
-// must void them, since another home has granted the same slots.
+// A router that is the home of upstreams is paused and resumed. As of its last
+// tick, the slots that it granted itself are still leased; its first tick must
+// void them, since another home has granted the same slots.
 func TestHomeWokenLateVoidsItsOwnGrants(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(t, 2, 8, 2)
@@ -165,11 +167,10 @@
 	}
 }
 
-// The fleet is cut in two and rejoined, twice. While it is cut each half serves
-// its callers. When the second half's home opens, an upstream runs at most its
-// slots and that half's part, until the next load report shows it to the first;
-// then its slots and one for rounding. After each rejoin no team is served alone
-// to repay what the other had.
+// The fleet is partitioned and rejoined twice; both halves must serve callers.
+// An upstream may exceed its slots by the second half's part when its grace
+// period ends and, after the next load report, by one for rounding. After a
+// rejoin no team may be served alone to repay the gap.
 func TestCutInTwoAndRejoinedTwice(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(t, 4, 4, 4)
@@ -202,13 +203,13 @@
 		one, two := f.service[1], f.service[2]
 		f.runWith(5*time.Second, load)
 		gainOne, gainTwo := (f.service[1] - one).Seconds(), (f.service[2] - two).Seconds()
-		g.Expect(gainOne/gainTwo).To(BeNumerically("~", 1, 0.25), "a burst of repayment")
+		g.Expect(gainOne/gainTwo).To(BeNumerically("~", 1, 0.25), "one team is served more to repay the gap")
 	}
 }
 
-// A router restarts and remembers nothing. Its teams' service so far still
-// counts at every router, also at the new process itself: a restart is no way to
-// get a second share.
+// A router restarts without state. The service of its teams so far must still
+// count at every router, including the new process, so that a restart does not
+// yield a second share.
 func TestRestartWithoutMemoryKeepsAccounts(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(t, 3, 3, 4)
@@ -229,24 +230,25 @@
 	}
 }
 
-// Messages are lost, doubled, late and out of order. No upstream ever runs more
-// than its slots, and when the network is well again no slot is missing.
+// Messages are lost, duplicated, delayed and reordered. No upstream may ever run
+// more requests than its slots, and once the network works again no slot may be
+// missing.
 func TestManglingTheNetworkMakesAndLosesNoSlot(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(t, 3, 3, 4)
 	f.converge()
 	f.cost = 50 * time.Millisecond
-	f.perturb = func(e packet) []packet {
-		e.at = e.at.Add(time.Duration(f.rng.IntN(30)) * time.Millisecond)
+	f.perturb = func(p packet) []packet {
+		p.deliverAt = p.deliverAt.Add(time.Duration(f.rng.IntN(30)) * time.Millisecond)
 		switch f.rng.IntN(10) {
 		case 0:
 			return nil
 		case 1:
-			late := e
-			late.at = e.at.Add(200 * time.Millisecond)
-			return []packet{e, late}
+			duplicate := p
+			duplicate.deliverAt = p.deliverAt.Add(200 * time.Millisecond)
+			return []packet{p, duplicate}
 		}
-		return []packet{e}
+		return []packet{p}
 	}
 	f.runWith(20*time.Second, func() { f.backlog(0, 1); f.backlog(1, 2, 3) })
 	for u := 1; u <= 3; u++ {
@@ -257,9 +259,9 @@
 	g.Expect(f.busy(0)).To(Equal(f.slots()))
 }
 
-// The connection to a peer goes silent: what is sent arrives nowhere, and
-// nothing fails. The router asks for a new connection before it suspects the
-// peer, so that a live peer is not taken for a dead one.
+// The connection to a peer stops delivering messages without an error. The
+// router must request a new connection before it suspects the peer, so that a
+// live peer is not treated as failed.
 func TestSilentConnectionIsRedialledBeforeItsPeerIsSuspected(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(t, 2, 2, 2)
@@ -277,8 +279,9 @@
 	g.Expect(f.nodes[1].Live(f.now)).To(HaveLen(2))
 }
 
-// An upstream is marked as leaving in a new bundle while its slots are in use
-// and work waits. What runs there ends; nothing new is sent there.
+// A new bundle marks an upstream as leaving while its slots are in use and
+// requests wait. Its running requests must continue to the end, and it must get
+// no new ones.
 func TestLeavingUpstreamGetsNoNewWork(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(t, 2, 2, 4)
@@ -290,18 +293,18 @@
 	for _, n := range f.nodes {
 		n.Configure(f.now, f.settings)
 	}
-	noticed := f.now
+	configuredAt := f.now
 	f.runWith(2*time.Second, load)
 	for _, s := range f.running {
-		g.Expect(s.upstream == 1 && s.startedAt.After(noticed)).To(BeFalse(), "new work for a leaving upstream")
+		g.Expect(s.upstream == 1 && s.startedAt.After(configuredAt)).To(BeFalse(), "new work for a leaving upstream")
 	}
 	g.Expect(f.busy(1)).To(BeZero())
 	g.Expect(f.busy(2)).To(Equal(4))
 }
 
-// A router shuts down under load. Its waiting requests are refused as not run,
-// with the time to come back; its running ones end; the others use its slots at
-// once, not a lease time later.
+// A router shuts down under load. Its waiting requests must be refused as not
+// run, with a retry delay; its running requests must continue to the end; other
+// routers must get its slots at once and not only after a lease time.
 func TestShutdownRefusesWaitingAndGivesSlotsBack(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(t, 3, 3, 4)
@@ -326,8 +329,9 @@
 	g.Expect(f.refused[refused].Reason).To(Equal(sched.ShuttingDown))
 }
 
-// A caller's deadline can't be met: the queue ahead takes longer. It is told so
-// at once, and one whose deadline passes while it waits is told then.
+// A request that can't meet its deadline because of the queue ahead must be
+// refused at once. One whose deadline passes while it waits must be refused
+// then.
 func TestDeadlines(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(t, 1, 1, 1)
--- a/sched/fleet_test.go
+++ b/sched/fleet_test.go
@@ -22,7 +22,7 @@
 	reportEvery = 500 * time.Millisecond
 )
 
-// testRequest is a request on an upstream.
+// testRequest is a request that waits at a node or runs on an upstream.
 type testRequest struct {
 	node      int
 	upstream  int
@@ -31,15 +31,15 @@
 	until     time.Time
 }
 
-// packet is a message on its way.
+// packet is a message in transit.
 type packet struct {
-	from, to int
-	at       time.Time
-	raw      []byte
+	from, to  int
+	deliverAt time.Time
+	raw       []byte
 }
 
-// fleet is a few nodes, a network that can be cut, and virtual time. Requests
-// run until the test ends them or their cost is over.
+// fleet is a few nodes, a network that can be partitioned, and virtual time.
+// Requests run until the test ends them or until their cost has elapsed.
 type fleet struct {
 	t        testing.TB
 	now      time.Time
@@ -87,7 +87,7 @@
 
 func name(i int) string { return fmt.Sprintf("vm%d", i+1) }
 
-// start begins a process without memory.
+// start starts a process without state.
 func (f *fleet) start(i int) {
 	f.starts++
 	cfg := sched.DefaultConfig(name(i), uint64(f.starts))
@@ -103,7 +103,7 @@
 	f.perform(i)
 }
 
-// kill ends a process and what it ran.
+// kill ends a process and its requests.
 func (f *fleet) kill(i int) {
 	f.up[i] = false
 	for id, s := range f.running {
@@ -111,10 +111,10 @@
 			delete(f.running, id)
 		}
 	}
-	f.inFlight = slices.DeleteFunc(f.inFlight, func(e packet) bool { return e.from == i || e.to == i })
+	f.inFlight = slices.DeleteFunc(f.inFlight, func(p packet) bool { return p.from == i || p.to == i })
 }
 
-// setPartitioned cuts or joins two groups of nodes.
+// setPartitioned cuts or restores the links between two groups of nodes.
 func (f *fleet) setPartitioned(a, b []int, cut bool) {
 	for _, x := range a {
 		for _, y := range b {
@@ -156,18 +156,18 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	e := packet{from: i, to: f.index(a.To), at: f.now.Add(oneWay), raw: raw}
-	if f.cut[[2]int{e.from, e.to}] {
+	p := packet{from: i, to: f.index(a.To), deliverAt: f.now.Add(oneWay), raw: raw}
+	if f.cut[[2]int{p.from, p.to}] {
 		return
 	}
 	if f.perturb == nil {
-		f.inFlight = append(f.inFlight, e)
+		f.inFlight = append(f.inFlight, p)
 		return
 	}
-	f.inFlight = append(f.inFlight, f.perturb(e)...)
+	f.inFlight = append(f.inFlight, f.perturb(p)...)
 }
 
-// arrive sends a request of a team to a node.
+// arrive submits a request of a team to a node.
 func (f *fleet) arrive(i int, team fairness.TeamID) sched.RequestID {
 	f.lastID++
 	id := f.lastID
@@ -191,10 +191,10 @@
 	}
 }
 
-// run lets time pass in steps of a millisecond.
+// run advances time in steps of a millisecond.
 func (f *fleet) run(d time.Duration) { f.runWith(d, func() {}) }
 
-// runWith calls each after every step.
+// runWith advances time and calls each after every step.
 func (f *fleet) runWith(d time.Duration, each func()) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.now = f.now.Add(time.Millisecond)
@@ -212,27 +212,28 @@
 
 func (f *fleet) deliver() {
 	var later []packet
-	wires := f.inFlight
+	packets := f.inFlight
 	f.inFlight = nil
-	for _, e := range wires {
-		if e.at.After(f.now) || f.paused[e.to] {
-			later = append(later, e)
+	for _, p := range packets {
+		if p.deliverAt.After(f.now) || f.paused[p.to] {
+			later = append(later, p)
 			continue
 		}
-		if !f.up[e.to] || f.cut[[2]int{e.from, e.to}] {
+		if !f.up[p.to] || f.cut[[2]int{p.from, p.to}] {
 			continue
 		}
 		var s sched.Sync
-		if err := json.Unmarshal(e.raw, &s); err != nil {
+		if err := json.Unmarshal(p.raw, &s); err != nil {
 			f.t.Fatal(err)
 		}
-		f.nodes[e.to].Receive(f.now, s)
-		f.perform(e.to)
+		f.nodes[p.to].Receive(f.now, s)
+		f.perform(p.to)
 	}
 	f.inFlight = append(later, f.inFlight...)
 }
 
-// endRequests ends those that have run for the fleet's cost, oldest id first.
+// endRequests ends the requests that have run for the fleet's cost, in the order
+// of their IDs.
 func (f *fleet) endRequests() {
 	if f.cost == 0 {
 		return
@@ -258,7 +259,7 @@
 	}
 }
 
-// reportLoads lets each home read its upstreams' own reports.
+// reportLoads passes the load of each upstream to its home.
 func (f *fleet) reportLoads() {
 	for i, n := range f.nodes {
 		if !f.up[i] || f.paused[i] {
@@ -271,7 +272,7 @@
 	}
 }
 
-// busy counts the requests on an upstream; 0 for all upstreams.
+// busy returns the number of requests on an upstream; 0 is for all upstreams.
 func (f *fleet) busy(upstream int) int {
 	n := 0
 	for _, s := range f.running {
@@ -282,7 +283,7 @@
 	return n
 }
 
-// backlog keeps each team's queue at a node filled.
+// backlog fills the queue of each team at a node.
 func (f *fleet) backlog(i int, teams ...fairness.TeamID) {
 	for _, team := range teams {
 		for f.nodes[i].Waiting(1, team) < 8 {
@@ -291,7 +292,7 @@
 	}
 }
 
-// slots is the number of slots of all upstreams.
+// slots returns the number of slots of all upstreams.
 func (f *fleet) slots() int {
 	n := 0
 	for _, u := range f.settings.Upstreams {
@@ -300,5 +301,5 @@
 	return n
 }
 
-// converge lets a new fleet find itself.
+// converge runs a new fleet until its routers have found each other.
 func (f *fleet) converge() { f.run(6 * time.Second) }
--- a/sched/fuzz_test.go
+++ b/sched/fuzz_test.go
@@ -8,8 +8,7 @@
 	"github.com/aspenswitch/aspenswitch/sched"
 )
 
-// Whatever a peer sends, a node neither panics nor sends on a slot beyond an
-// upstream's.
+// Whatever a peer sends, a node must not panic.
 func FuzzReceive(f *testing.F) {
 	f.Add([]byte(`{"f":"vm2","i":7,"o":1,"s":1,"p":[{"p":1,"e":[[1,500,3,4]],"g":[{"u":1,"t":1,"g":4}],"r":[{"u":1,"c":2}]}]}`))
 	f.Add([]byte(`{"f":"vm2","i":7,"s":1,"j":true,"p":[{"p":1,"s":{"base":[[1,5]],"peers":[{"router":"vm3","inc":1,"entries":[[2,1]]}]}}]}`))
--- a/sched/home.go
+++ b/sched/home.go
@@ -8,9 +8,9 @@
 	"github.com/aspenswitch/aspenswitch/limits"
 )
 
-// allocate grants the free slots of the upstreams homed here to the routers
-// where the least served teams wait. Slots that nobody waits for stay free
-// until park spreads them.
+// allocate grants the free slots of the upstreams whose home is this router, to
+// the routers where the least served teams wait. Slots that no request waits for
+// stay free until distributeFree grants them.
 func (n *Node) allocate(now time.Time, p *pool) {
 	for _, u := range p.upstreams {
 		if u.table == nil || u.Draining {
@@ -21,16 +21,16 @@
 	}
 }
 
-// grantNext grants one slot to the least served waiting team; it returns false
+// grantNext grants one slot for the least served waiting team. It returns false
 // if no team waits for one.
 func (n *Node) grantNext(now time.Time, p *pool, u *upstream) bool {
-	local, waits := p.accounts.NextLocal(now)
-	remote, elsewhere := p.accounts.NextRemote(now)
-	if waits && n.queueExceedsIdle(now, p) && (!elsewhere || local.Key <= remote.Key) {
+	local, hasLocal := p.accounts.NextLocal(now)
+	remote, hasRemote := p.accounts.NextRemote(now)
+	if hasLocal && n.queueExceedsIdle(now, p) && (!hasRemote || local.Key <= remote.Key) {
 		n.grantLocal(now, u, 1)
 		return true
 	}
-	if !elsewhere {
+	if !hasRemote {
 		return false
 	}
 	p.accounts.AssumeGranted(remote.Router, remote.Team, 1)
@@ -53,8 +53,9 @@
 	u.holder.Extend(n.ownLeaseExpiry())
 }
 
-// ownLeaseExpiry is the end of slots that this router grants itself. It counts from
-// the last tick, so that a process that was paused finds it ended.
+// ownLeaseExpiry is the end of the lease of slots that this router grants
+// itself. It is measured from the last tick, so that a process that was paused
+// finds the lease expired.
 func (n *Node) ownLeaseExpiry() time.Time { return n.lastTickAt.Add(n.cfg.LeaseTTL) }
 
 func (n *Node) grant(now time.Time, u *upstream, router string, slots int) {
@@ -63,7 +64,7 @@
 	l.grants[u.ID] = true
 }
 
-// reportLocal passes this router's own returns and claims to its own book.
+// reportLocal applies this router's own returns and claims to its own table.
 func (n *Node) reportLocal(u *upstream) {
 	r, ok := u.holder.Report()
 	if !ok {
@@ -75,8 +76,9 @@
 	}
 }
 
-// distributeFree spreads free slots that nobody waits for over the live routers, so that
-// a request that meets no contention finds an idle slot without a round trip.
+// distributeFree grants free slots that no request waits for to the live
+// routers, so that in the absence of contention a request finds an idle slot
+// without a round trip.
 func (n *Node) distributeFree(now time.Time, p *pool) {
 	for _, u := range p.upstreams {
 		if u.table == nil || u.Draining {
@@ -93,31 +95,33 @@
 	}
 }
 
-// freeSlotTarget is the live router that has the most work in the pool for each slot of
-// the upstream that it holds, so that idle slots lie where requests come.
-func (n *Node) freeSlotTarget(p *pool, b *lease.Table) string {
-	router, most := n.cfg.Router, workPerSlot(p, b, n.cfg.Router, "")
+// freeSlotTarget returns the live router with the most outstanding requests in
+// the pool per slot of the upstream that it holds, so that idle slots are where
+// requests arrive.
+func (n *Node) freeSlotTarget(p *pool, t *lease.Table) string {
+	router, highest := n.cfg.Router, loadPerSlot(p, t, n.cfg.Router, "")
 	for _, name := range n.live {
 		if name == n.cfg.Router {
 			continue
 		}
-		if work := workPerSlot(p, b, name, name); work > most {
-			router, most = name, work
+		if load := loadPerSlot(p, t, name, name); load > highest {
+			router, highest = name, load
 		}
 	}
 	return router
 }
 
-// workPerSlot counts one more request and slot each, so that a router without
-// work gets slots too.
-func workPerSlot(p *pool, b *lease.Table, router, account string) float64 {
-	return float64(p.accounts.Outstanding(account)+1) / float64(b.Held(router)+1)
+// loadPerSlot is the number of outstanding requests per slot. It adds one to
+// both counts, so that a router without requests gets slots too.
+func loadPerSlot(p *pool, t *lease.Table, router, account string) float64 {
+	return float64(p.accounts.Outstanding(account)+1) / float64(t.Held(router)+1)
 }
 
-// loadReportTTL is how long an upstream's load report is believed.
+// loadReportTTL is how long an upstream's load report is used.
 const loadReportTTL = 2 * time.Second
 
-// ObserveLoad takes in an upstream's own report. Only the upstream's home asks for it.
+// ObserveLoad applies an upstream's load report. Only the upstream's home
+// requests it.
 func (n *Node) ObserveLoad(now time.Time, poolID, upstreamID int, l limits.Load) {
 	p, ok := n.pools[poolID]
 	if !ok {
@@ -134,8 +138,8 @@
 	n.flush(now)
 }
 
-// setLimit brings the book's limit up to date with what is learned and with the
-// part of the fleet that is visible.
+// setLimit updates the table's limit from the learned limit and from the part of
+// the fleet that is visible.
 func (n *Node) setLimit(now time.Time, u *upstream) {
 	if u.table == nil {
 		return
@@ -147,8 +151,9 @@
 	}
 }
 
-// externalLoad is how many requests the upstream has that this side of the fleet did
-// not send. Without a fresh report all of its slots may be taken.
+// externalLoad returns the number of requests on the upstream that were not sent
+// from this side of a partition. Without a recent report it returns the limit,
+// since all slots may be in use.
 func (u *upstream) externalLoad(now time.Time) int {
 	if now.Sub(u.loadAt) > loadReportTTL {
 		return u.limit.Limit()
@@ -166,20 +171,20 @@
 	}
 }
 
-// HomedUpstreams returns the upstreams that this router is the home of.
+// HomedUpstreams returns the upstreams whose home is this router.
 func (n *Node) HomedUpstreams() []Upstream {
-	var homes []Upstream
+	var homed []Upstream
 	for _, p := range n.pools {
 		for _, u := range p.upstreams {
 			if u.table != nil {
-				homes = append(homes, u.Upstream)
+				homed = append(homed, u.Upstream)
 			}
 		}
 	}
-	return homes
+	return homed
 }
 
-// Waiting counts a team's waiting requests here.
+// Waiting returns the number of a team's requests that wait here.
 func (n *Node) Waiting(poolID int, team fairness.TeamID) int {
 	if p, ok := n.pools[poolID]; ok {
 		return p.queue.Waiting(team)
--- a/sched/link.go
+++ b/sched/link.go
@@ -6,39 +6,42 @@
 	"github.com/aspenswitch/aspenswitch/fairness"
 )
 
-// link is what a node keeps for one peer.
+// link is the state that a node keeps for one peer.
 type link struct {
 	name string
-	// lastSent is the last sequence number sent, lastReceived the last one received.
+	// lastSent and lastReceived are the last sequence numbers sent and received.
 	lastSent, lastReceived uint64
-	// incarnation is the peer's, as of heard.
+	// incarnation is the peer's incarnation as of lastReceived.
 	incarnation uint64
 	receivedAt  time.Time
 	sentAt      time.Time
-	// leaseUntil is the end of every slot leased from the peer.
+	// leaseUntil is the end of every lease granted by the peer.
 	leaseUntil time.Time
 
 	redialedAt time.Time
-	// liveHash is the peer's last Live. settled is set once the peer has acknowledged
-	// a message sent since this router's own liveHash routers changed, changeSeq or
-	// later, and acts by the same ones.
+	// liveHash is the last LiveHash of the peer. converged is set once the peer
+	// has acknowledged a message sent since this router's own live routers
+	// changed (sequence number changeSeq or later) and has the same live
+	// routers.
 	liveHash  uint32
 	converged bool
 	changeSeq uint64
 	ackSentAt time.Time
-	// unackedSentAt holds when each message that is not acknowledged yet was sent.
+	// unackedSentAt holds the send time of each unacknowledged message, by
+	// sequence number.
 	unackedSentAt map[uint64]time.Time
-	// grants and reports are upstreams whose lease counters the peer must learn.
+	// grants and reports are the upstreams whose lease counters must be sent to
+	// the peer.
 	grants, reports map[int]bool
-	// pendingEntries holds, by pool, the accounts that the peer must learn.
+	// pendingEntries holds, by pool, the accounts that must be sent to the peer.
 	pendingEntries map[int][]fairness.Entry
-	// urgent sends the next message without waiting for a tick.
+	// urgent sends the next message without waiting for the heartbeat.
 	urgent bool
 	// sendFull sends every account: the peer is new or missed a message.
 	sendFull bool
-	// requestFull asks the peer for everything.
+	// requestFull requests the full state from the peer.
 	requestFull bool
-	// sendSnapshot sends what the peer needs to join.
+	// sendSnapshot sends the snapshot that the peer needs to join.
 	sendSnapshot bool
 }
 
@@ -54,7 +57,7 @@
 	}
 }
 
-// reset forgets the peer's earlier incarnation.
+// reset discards the state of the peer's earlier incarnation.
 func (l *link) reset(incarnation uint64) {
 	l.incarnation = incarnation
 	l.lastReceived = 0
@@ -66,7 +69,7 @@
 	clear(l.reports)
 }
 
-// clearPending forgets what the message that goes out now tells.
+// clearPending clears everything that the message being sent contains.
 func (l *link) clearPending() {
 	l.urgent, l.sendFull, l.requestFull, l.sendSnapshot = false, false, false, false
 	clear(l.grants)
@@ -74,8 +77,8 @@
 	clear(l.pendingEntries)
 }
 
-// addEntries adds accounts that the peer must learn; newer ones take the place of
-// older ones.
+// addEntries adds accounts to send to the peer; they replace older entries of
+// the same teams.
 func (l *link) addEntries(pool int, due []fairness.Entry) {
 	byTeam := map[fairness.TeamID]bool{}
 	for _, e := range due {
@@ -90,31 +93,33 @@
 	l.pendingEntries[pool] = append(kept, due...)
 }
 
-// resetConvergence begins to wait for the peer's word on the new live routers.
+// resetConvergence waits anew for the peer to confirm the live routers after
+// they changed.
 func (l *link) resetConvergence() {
 	l.converged = false
 	l.changeSeq = l.lastSent + 1
 	l.urgent = true
 }
 
-// needsSend reports whether the peer must be told something at once.
+// needsSend reports whether a message must be sent to the peer at once.
 func (l *link) needsSend() bool {
 	return l.urgent || len(l.grants) > 0 || len(l.reports) > 0 || l.sendSnapshot || l.requestFull
 }
 
-// acknowledge returns when the acknowledged message was sent and forgets the ones
-// before it.
+// acknowledge returns the send time of the acknowledged message, and discards it
+// and the earlier ones.
 func (l *link) acknowledge(seq uint64) (time.Time, bool) {
-	at, ok := l.unackedSentAt[seq]
+	sentAt, ok := l.unackedSentAt[seq]
 	for s := range l.unackedSentAt {
 		if s <= seq {
 			delete(l.unackedSentAt, s)
 		}
 	}
-	return at, ok
+	return sentAt, ok
 }
 
-// oldestUnacked is when the oldest message that is not acknowledged was sent.
+// oldestUnacked returns the send time of the oldest unacknowledged message, and
+// false if there is none.
 func (l *link) oldestUnacked() (time.Time, bool) {
 	if len(l.unackedSentAt) == 0 {
 		return time.Time{}, false
--- a/sched/message.go
+++ b/sched/message.go
@@ -5,27 +5,27 @@
 	"github.com/aspenswitch/aspenswitch/lease"
 )
 
-// Sync is the one message between nodes: heartbeat, report of accounts, and
-// leases in both directions. Everything in it is a counter that only grows or a
-// value that the newest sequence number decides, so a Sync may be lost or come
-// twice, late or out of order.
+// Sync is the only message between nodes. It carries the heartbeat, the report
+// of accounts, and leases in both directions. Each of its values is a counter
+// that only grows or is superseded by the highest sequence number, so a Sync may
+// be lost, duplicated, delayed or reordered.
 type Sync struct {
 	From        string `json:"f"`
 	Incarnation uint64 `json:"i"`
-	// ToIncarnation is the receiver's incarnation as the sender knows it; leases in a
-	// message for an earlier incarnation are void.
+	// ToIncarnation is the receiver's incarnation last seen by the sender;
+	// leases in a message for an earlier incarnation are void.
 	ToIncarnation uint64 `json:"o,omitempty"`
-	// LiveHash is a hash of the sender's live routers: the sender has claimed its
-	// slots from the homes that follow from them.
+	// LiveHash is a hash of the sender's live routers. The sender has claimed
+	// its slots from the homes that result from them.
 	LiveHash uint32 `json:"h,omitempty"`
 	Seq      uint64 `json:"s"`
-	// Ack is the highest sequence number heard from the receiver; 0 for none.
+	// Ack is the highest sequence number received from the receiver; 0 for none.
 	Ack uint64 `json:"a,omitempty"`
-	// Missed asks for everything: the sender missed a message.
+	// Missed requests the full state: the sender missed a message.
 	Missed bool `json:"m,omitempty"`
-	// Joining asks for a snapshot: the sender started without memory.
+	// Joining requests a snapshot: the sender started without state.
 	Joining bool `json:"j,omitempty"`
-	// Leaving tells that the sender shuts down.
+	// Leaving announces that the sender is shutting down.
 	Leaving bool       `json:"l,omitempty"`
 	Pools   []PoolSync `json:"p,omitempty"`
 }
--- a/sched/node.go
+++ b/sched/node.go
@@ -15,7 +15,7 @@
 	"github.com/aspenswitch/aspenswitch/membership"
 )
 
-// Node is the decision core of one router. It is not safe for concurrent use:
+// Node is the scheduling core of one router. It is not safe for concurrent use:
 // the control goroutine owns it.
 type Node struct {
 	cfg      Config
@@ -27,15 +27,16 @@
 	live     []string
 	liveHash uint32
 	lastTerm uint64
-	// startedAt opens the first books; lastTickAt tells a pause from a tick.
+	// startedAt bounds the wait for a snapshot; lastTickAt is used to detect a
+	// pause of the process.
 	startedAt, lastTickAt, lastReportAt, lastSlotRequestAt time.Time
-	// joined is set once a peer's snapshot came, or when nobody has one.
+	// joined is set once a peer's snapshot was applied, or when no peer has one.
 	joined  bool
 	leaving bool
 	actions []Action
 }
 
-// NewNode returns a node that knows no peer and has no settings.
+// NewNode returns a node without peers and settings.
 func NewNode(now time.Time, cfg Config) *Node {
 	return &Node{
 		cfg:        cfg,
@@ -50,7 +51,7 @@
 	}
 }
 
-// Actions returns what is to be done since the last call, in order.
+// Actions returns the actions since the last call, in order.
 func (n *Node) Actions() []Action {
 	out := n.actions
 	n.actions = nil
@@ -59,8 +60,8 @@
 
 func (n *Node) emit(a Action) { n.actions = append(n.actions, a) }
 
-// Configure takes in a bundle's settings. Running and waiting requests go on;
-// requests that wait for a pool that is gone are refused.
+// Configure applies the settings of a bundle. Running and waiting requests are
+// kept; requests that wait for a removed pool are refused.
 func (n *Node) Configure(now time.Time, s Settings) {
 	for _, id := range s.Pools {
 		p, ok := n.pools[id]
@@ -107,29 +108,30 @@
 	p.queue = fairness.NewQueue[RequestID]()
 }
 
-// setUpstreams keeps what is known of upstreams that stay. One that is gone
-// stays as leaving until its last request has ended.
+// setUpstreams updates the upstreams of the pool and keeps the state of those
+// that remain. A removed upstream stays as draining until its last request has
+// ended.
 func (p *pool) setUpstreams(n *Node, all []Upstream) {
-	kept := map[int]*upstream{}
+	remaining := map[int]*upstream{}
 	for _, u := range p.upstreams {
-		kept[u.ID] = u
+		remaining[u.ID] = u
 	}
 	p.upstreams = nil
 	for _, s := range all {
 		if s.Pool != p.id {
 			continue
 		}
-		u, ok := kept[s.ID]
+		u, ok := remaining[s.ID]
 		if !ok {
 			u = &upstream{holder: lease.NewHolder(s.ID), limit: limits.NewAdaptive(s.Slots)}
 		}
 		u.Upstream = s
 		u.limit.SetMost(s.Slots)
 		p.upstreams = append(p.upstreams, u)
-		delete(kept, s.ID)
+		delete(remaining, s.ID)
 	}
-	for _, id := range slices.Sorted(maps.Keys(kept)) {
-		u := kept[id]
+	for _, id := range slices.Sorted(maps.Keys(remaining)) {
+		u := remaining[id]
 		u.Draining = true
 		n.dropTable(u)
 		if u.holder.InUse() > 0 {
@@ -146,14 +148,15 @@
 	u.table = nil
 }
 
-// SetList takes in the platform's list of VMs.
+// SetList applies the platform's list of VMs.
 func (n *Node) SetList(now time.Time, list []membership.Listed) {
 	n.view.SetList(list)
 	n.refreshLive(now)
 	n.flush(now)
 }
 
-// refreshLive recomputes which routers are live and moves homes if that changed.
+// refreshLive recomputes which routers are live and reassigns homes if that
+// changed.
 func (n *Node) refreshLive(now time.Time) {
 	for name := range n.links {
 		reachable := n.view.Reachable(now, name)
@@ -172,7 +175,7 @@
 	n.scheduleAll(now)
 }
 
-// assignHomes finds every upstream's home among the live routers.
+// assignHomes selects every upstream's home among the live routers.
 func (n *Node) assignHomes(now time.Time) {
 	for _, p := range n.pools {
 		for _, u := range p.upstreams {
@@ -199,8 +202,8 @@
 	n.reportLocal(u)
 }
 
-// gracePeriod is how long a new book stays closed. A router alone in its list has
-// nobody whose leases it must wait out.
+// gracePeriod is the grace period of a new lease table. It is zero if this
+// router is the only listed one, since no other router can hold a lease.
 func (n *Node) gracePeriod() time.Duration {
 	if _, listed := n.view.Visible(n.lastTickAt); listed == 1 {
 		return 0
@@ -208,10 +211,11 @@
 	return n.cfg.LeaseTTL
 }
 
-// endGracePeriods opens new books before their time once nobody is left whose slots
-// they could miss: every router that is listed or was heard is reachable, and has
-// said that it acts by the same live routers and so has claimed what it holds.
-// Without this a join or a graceful leave would close slots for a lease time.
+// endGracePeriods ends the grace periods of new tables early once no router can
+// hold slots that they don't count: every router that is listed or sent a
+// message is reachable and has confirmed that it uses the same live routers, and
+// so has claimed the slots that it holds. Without it, a join or a graceful leave
+// would make slots unavailable for a lease time.
 func (n *Node) endGracePeriods(now time.Time) {
 	for _, name := range n.view.Peers(now) {
 		if !n.view.Reachable(now, name) || !n.linkTo(name).converged {
@@ -245,7 +249,7 @@
 	return nil
 }
 
-// scheduleAll looks again at every pool.
+// scheduleAll uses the idle slots of every pool.
 func (n *Node) scheduleAll(now time.Time) {
 	for _, id := range slices.Sorted(maps.Keys(n.pools)) {
 		n.schedule(now, n.pools[id])
--- a/sched/pool.go
+++ b/sched/pool.go
@@ -8,22 +8,23 @@
 	"github.com/aspenswitch/aspenswitch/limits"
 )
 
-// pool is the upstreams that serve the same models or services, with the
+// pool is a set of upstreams that serve the same models or services, with the
 // accounts and the queue of the teams that use them.
 type pool struct {
 	id        int
 	accounts  *fairness.Accounts
 	queue     *fairness.Queue[RequestID]
 	upstreams []*upstream
-	// finishInterval is the learned time between two ends here, in seconds; it tells
-	// how long a queue takes to drain.
+	// finishInterval is the learned time between two completed requests here, in
+	// seconds; it is used to estimate how long a queue takes to drain.
 	finishInterval float64
 	lastFinishAt   time.Time
-	// grantsReceived is set when slots came from a home since the last look.
+	// grantsReceived is set when a home's grant was applied since recordGrants
+	// last ran.
 	grantsReceived bool
 }
 
-// upstream is one upstream as this router sees it.
+// upstream is the state of one upstream at this router.
 type upstream struct {
 	Upstream
 	holder *lease.Holder
@@ -31,19 +32,19 @@
 	table *lease.Table
 	limit *limits.Adaptive
 	load  limits.Load
-	// loadAt is when load came.
+	// loadAt is when load was received.
 	loadAt time.Time
-	// lastPrefix is the last prompt start sent from here, a hint of what the
-	// engine's lastPrefix cache holds.
+	// lastPrefix is the last prefix hash sent from here, an indication of what
+	// the engine's prefix cache holds.
 	lastPrefix uint64
-	// avoidUntil is when an upstream that failed is tried again.
+	// avoidUntil is when an upstream that failed may be used again.
 	avoidUntil time.Time
 }
 
-// finishIntervalWeight is the weight of one more end in the learned interval.
+// finishIntervalWeight is the weight of a new sample in the learned interval.
 const finishIntervalWeight = 0.1
 
-// observeFinish learns the time between ends.
+// observeFinish updates the learned time between completed requests.
 func (p *pool) observeFinish(now time.Time) {
 	if !p.lastFinishAt.IsZero() {
 		p.finishInterval += finishIntervalWeight * (now.Sub(p.lastFinishAt).Seconds() - p.finishInterval)
@@ -51,12 +52,12 @@
 	p.lastFinishAt = now
 }
 
-// usable reports whether new work may be sent to the upstream.
+// usable reports whether new requests may be sent to the upstream.
 func (u *upstream) usable(now time.Time) bool {
 	return !u.Draining && !now.Before(u.avoidUntil)
 }
 
-// idle is the number of slots that a request may be sent on now.
+// idle returns the number of slots on which a request may be sent now.
 func (u *upstream) idle(now time.Time) int {
 	if !u.usable(now) {
 		return 0
@@ -64,9 +65,9 @@
 	return u.holder.Idle(now)
 }
 
-// pick returns the upstream for a request: one that likely holds its prompt's
-// start, else the one with most idle slots. A warm cache never makes a request
-// wait, since only upstreams with an idle slot are looked at.
+// pick returns the upstream for a request: one that likely has its prefix
+// cached, or else the one with the most idle slots. The prefix cache never makes
+// a request wait, since only upstreams with an idle slot are considered.
 func (p *pool) pick(now time.Time, r *Request) *upstream {
 	var best *upstream
 	most := 0
@@ -88,10 +89,11 @@
 	return best
 }
 
-// mostIdle returns the upstream with most idle slots.
+// mostIdle returns the upstream with the most idle slots, or nil if no slot is
+// idle.
 func (p *pool) mostIdle(now time.Time) *upstream { return p.pick(now, &Request{}) }
 
-// running counts the requests of the pool that hold a slot here.
+// running returns the number of the pool's requests that hold a slot here.
 func (p *pool) running() int {
 	n := 0
 	for _, u := range p.upstreams {
--- a/sched/receive.go
+++ b/sched/receive.go
@@ -6,7 +6,7 @@
 	"github.com/aspenswitch/aspenswitch/lease"
 )
 
-// Receive takes in a peer's message.
+// Receive applies a peer's message.
 func (n *Node) Receive(now time.Time, s Sync) {
 	l := n.linkTo(s.From)
 	if n.stale(now, l, s) {
@@ -29,7 +29,8 @@
 	n.flush(now)
 }
 
-// recordGrants lets what still waits after new slots came be asked for anew.
+// recordGrants makes requests that still wait after slots were granted eligible
+// to be advertised again.
 func (n *Node) recordGrants() {
 	for _, p := range n.pools {
 		if p.grantsReceived {
@@ -39,7 +40,7 @@
 	}
 }
 
-// stale reports whether a message comes twice, out of order, or from an
+// stale reports whether a message is a duplicate, out of order, or from an
 // incarnation that has ended.
 func (n *Node) stale(now time.Time, l *link, s Sync) bool {
 	if s.Incarnation == l.incarnation {
@@ -49,7 +50,7 @@
 		return false
 	}
 	// A VM whose clock was set back restarts with a lower incarnation. Its old
-	// process is gone once it has been silent for as long as it takes to suspect it.
+	// process has ended once it has been silent for SuspectAfter.
 	return now.Sub(l.receivedAt) < n.cfg.SuspectAfter
 }
 
@@ -65,27 +66,28 @@
 	l.lastReceived = s.Seq
 	l.receivedAt = now
 	l.sendFull = l.sendFull || s.Missed
-	// Who joins itself has nothing to give; two that join would answer each other
-	// without end.
 	// A peer whose live routers changed waits for an acknowledgement.
 	l.urgent = l.urgent || l.liveHash != s.LiveHash
 	l.liveHash = s.LiveHash
+	// A router that is itself joining has no snapshot to send; two joining routers
+	// would answer each other endlessly.
 	l.sendSnapshot = l.sendSnapshot || (s.Joining && n.joined)
 }
 
-// recordAck extends the leases from the peer: it heard a message of this
-// incarnation, sent at a known time.
+// recordAck extends the leases granted by the peer: it received a message of
+// this incarnation, whose send time is recorded.
 func (n *Node) recordAck(l *link, s Sync) {
 	if s.ToIncarnation != n.cfg.Incarnation || s.Ack == 0 {
 		return
 	}
-	if at, ok := l.acknowledge(s.Ack); ok {
-		l.leaseUntil = at.Add(n.cfg.LeaseTTL)
+	if sentAt, ok := l.acknowledge(s.Ack); ok {
+		l.leaseUntil = sentAt.Add(n.cfg.LeaseTTL)
 	}
 }
 
-// renewLeases extends the leases between this router and the peer: its own from what
-// the peer acknowledged, the peer's from now.
+// renewLeases extends the leases between this router and the peer: those granted
+// by the peer from the send time of the acknowledged message, those granted to
+// the peer from now.
 func (n *Node) renewLeases(now time.Time, l *link) {
 	for _, p := range n.pools {
 		for _, u := range p.upstreams {
--- a/sched/report.go
+++ b/sched/report.go
@@ -8,10 +8,10 @@
 	"github.com/aspenswitch/aspenswitch/fairness"
 )
 
-// requestSlots tells the peers at once that a team has begun to wait, if one of them has
-// reason to act: it may have an idle slot, or the team is behind the others by so
-// much that a holder would give up a slot for it. Else a slot that falls idle
-// here is as good, and the next report soon enough.
+// requestSlots reports at once that a team has begun to wait, if this may get it
+// a slot: a peer may have an idle slot, or the team is so far behind that a
+// holder would give up a slot for it. Otherwise a slot that becomes idle here
+// serves as well, and the next regular report is soon enough.
 func (n *Node) requestSlots(now time.Time, p *pool, team fairness.TeamID) {
 	if !p.accounts.HasUnadvertised(team) {
 		return
@@ -23,19 +23,20 @@
 	n.report(now, true)
 }
 
-// slotRequestTooSoon spaces asks for a request or two where slots of this router's own
-// fall idle now and then anyway. A fleet that is just full would otherwise ask
-// all peers for each request. A burst is asked for at once.
+// slotRequestTooSoon limits the rate of slot requests for one or two waiting
+// requests while this router has running requests, whose slots become idle
+// anyway. Without it, a fleet that is just saturated would send a slot request
+// to all peers for each request. Slots for a burst are requested at once.
 func (n *Node) slotRequestTooSoon(now time.Time, p *pool) bool {
 	spacing := n.cfg.SlotRequestSpacing * p.accounts.MeanCost()
 	return p.running() > 0 && p.queue.Len() <= burstThreshold && now.Sub(n.lastSlotRequestAt).Seconds() < spacing
 }
 
-// burstThreshold is how many waiting requests are no burst.
+// burstThreshold is the number of waiting requests above which they are a burst.
 const burstThreshold = 2
 
-// retrySlotRequest asks for every team that began to wait unseen, once a peer may have
-// an idle slot after all.
+// retrySlotRequest requests slots for teams whose waiting requests were not
+// advertised, once a peer may have an idle slot.
 func (n *Node) retrySlotRequest(now time.Time) {
 	for _, id := range slices.Sorted(maps.Keys(n.pools)) {
 		p := n.pools[id]
@@ -47,15 +48,16 @@
 	}
 }
 
-// correctWaiting corrects the peers at once when they think that teams wait here while
-// slots stand idle: they would not ask for one, and work would wait beside it.
+// correctWaiting sends a report at once if the last one says that teams wait
+// here while slots are idle: peers would not request such a slot, and their
+// requests would wait while it is idle.
 func (n *Node) correctWaiting(now time.Time, p *pool) {
 	if p.mostIdle(now) != nil && p.accounts.WaitingReportOutdated() {
 		n.report(now, true)
 	}
 }
 
-// report queues the accounts that have left the line the peers extrapolate.
+// report queues the accounts that have deviated from the peers' extrapolation.
 func (n *Node) report(now time.Time, force bool) {
 	n.lastReportAt = now
 	for _, id := range slices.Sorted(maps.Keys(n.pools)) {
@@ -70,14 +72,15 @@
 	}
 }
 
-// reportIfDue reports at most every ReportEvery: what diverged, and at once what a
-// peer would act on. What only ceased to wait goes with the next heartbeat.
+// reportIfDue reports at most every ReportEvery: accounts that diverged, and a
+// lagging team that a peer would give up a slot for. That a team stopped waiting
+// is otherwise reported with the next heartbeat.
 func (n *Node) reportIfDue(now time.Time) {
-	since := now.Sub(n.lastReportAt)
-	if since < n.cfg.ReportEvery {
+	elapsed := now.Sub(n.lastReportAt)
+	if elapsed < n.cfg.ReportEvery {
 		return
 	}
-	n.report(now, since >= n.cfg.Heartbeat || n.anyUnreportedLag(now))
+	n.report(now, elapsed >= n.cfg.Heartbeat || n.anyUnreportedLag(now))
 }
 
 func (n *Node) anyUnreportedLag(now time.Time) bool {
@@ -89,8 +92,8 @@
 	return false
 }
 
-// hasUnreportedLag reports whether a team waits here that a holder elsewhere would give
-// up a slot for, if it knew.
+// hasUnreportedLag reports whether a team waits here for which a holder
+// elsewhere would give up a slot if its requests were reported.
 func (n *Node) hasUnreportedLag(now time.Time, p *pool) bool {
 	return p.accounts.HasUnreportedLag(now, n.cfg.Hysteresis*p.accounts.MeanCost())
 }
--- a/sched/request.go
+++ b/sched/request.go
@@ -6,18 +6,19 @@
 	"github.com/aspenswitch/aspenswitch/fairness"
 )
 
-// RequestID names a request within one router.
+// RequestID identifies a request within one router.
 type RequestID uint64
 
-// Request is what the decision needs to know of a caller's request.
+// Request holds the properties of a caller's request that scheduling depends on.
 type Request struct {
 	ID   RequestID
 	Team fairness.TeamID
 	Pool int
 	// Deadline is when the caller stops waiting; zero for never.
 	Deadline time.Time
-	// PrefixHash is a hash of the prompt's start; 0 for none. An upstream that
-	// served it lately is likely to have it in its prefix cache.
+	// PrefixHash is a hash of the first part of the prompt; 0 for none. An
+	// upstream that recently served the same prefix is likely to have it in its
+	// prefix cache.
 	PrefixHash uint64
 	// AvoidUpstream is an upstream that failed this request before; 0 for none.
 	AvoidUpstream int
--- a/sched/requests.go
+++ b/sched/requests.go
@@ -8,13 +8,14 @@
 	"github.com/aspenswitch/aspenswitch/fairness"
 )
 
-// minRetryAfter and maxRetryAfter bound what a refused caller is told.
+// minRetryAfter and maxRetryAfter bound the retry delay returned to a refused
+// caller.
 const (
 	minRetryAfter = time.Second
 	maxRetryAfter = time.Minute
 )
 
-// Submit takes in a caller's request. It is dispatched, queued or refused.
+// Submit adds a caller's request, which is dispatched, queued or refused.
 func (n *Node) Submit(now time.Time, r Request) {
 	p, ok := n.pools[r.Pool]
 	if !ok {
@@ -34,7 +35,7 @@
 	n.flush(now)
 }
 
-// refusal tells whether the request must be refused at once.
+// refusal returns true, with the reason, if the request must be refused at once.
 func (n *Node) refusal(now time.Time, p *pool, r *Request) (Reason, bool) {
 	switch {
 	case n.leaving:
@@ -47,8 +48,8 @@
 	return "", false
 }
 
-// queueDelay is how long the requests of the team that wait here are expected to
-// take to begin, at the measured rate and an equal turn for each waiting team.
+// queueDelay is the expected time until the team's waiting requests here have
+// started, from the measured rate and with an equal turn for each waiting team.
 func (n *Node) queueDelay(p *pool, team fairness.TeamID) time.Duration {
 	ahead := p.queue.Waiting(team) * p.queue.Teams()
 	return time.Duration(float64(ahead) * p.finishInterval * float64(time.Second))
@@ -58,8 +59,8 @@
 	return min(max(n.queueDelay(p, team), minRetryAfter), maxRetryAfter)
 }
 
-// Cancel forgets a waiting request whose caller left. It returns false if the
-// request does not wait here any more.
+// Cancel removes a waiting request whose caller disconnected. It returns false
+// if the request no longer waits here.
 func (n *Node) Cancel(now time.Time, id RequestID) bool {
 	r, ok := n.requests[id]
 	if !ok {
@@ -86,8 +87,8 @@
 	n.flush(now)
 }
 
-// Fail ends a running request that the upstream did not serve. The upstream is
-// avoided for a while.
+// Fail ends a running request that the upstream failed to serve. The upstream
+// gets no requests for the duration avoid.
 func (n *Node) Fail(now time.Time, id RequestID, avoid time.Duration) {
 	r, p := n.stopRunning(now, id)
 	if r == nil {
@@ -114,8 +115,9 @@
 	return r, p
 }
 
-// Leave begins a graceful shutdown: waiting requests are refused, running ones
-// end, idle slots go back, and the peers are told.
+// Leave starts a graceful shutdown: waiting requests are refused, running
+// requests continue to the end, idle slots are returned, and the peers are
+// notified.
 func (n *Node) Leave(now time.Time) {
 	n.leaving = true
 	n.view.Leave()
@@ -142,11 +144,11 @@
 	}
 }
 
-// Running counts the requests that hold a slot.
+// Running returns the number of requests that hold a slot.
 func (n *Node) Running() int { return len(n.running) }
 
-// SetQueueLimit changes how many requests of one team may wait here.
-func (n *Node) SetQueueLimit(most int) { n.cfg.QueuePerTeam = most }
+// SetQueueLimit sets the maximum number of requests of one team that wait here.
+func (n *Node) SetQueueLimit(limit int) { n.cfg.QueuePerTeam = limit }
 
 // Live returns the live routers, this one included.
 func (n *Node) Live(now time.Time) []string { return n.view.Live(now) }
--- a/sched/schedule.go
+++ b/sched/schedule.go
@@ -6,8 +6,9 @@
 	"github.com/aspenswitch/aspenswitch/fairness"
 )
 
-// schedule uses the pool's idle slots: for the waiting requests here, or, where a
-// team that waits elsewhere is behind by more than the hysteresis, for that one.
+// schedule uses the pool's idle slots for the requests that wait here, or, if a
+// team that waits elsewhere is behind by more than the hysteresis, for that
+// team.
 func (n *Node) schedule(now time.Time, p *pool) {
 	n.assignIdle(now, p)
 	n.correctWaiting(now, p)
@@ -21,22 +22,22 @@
 		if u == nil {
 			return
 		}
-		local, waits := p.accounts.NextLocal(now)
-		remote, elsewhere := p.accounts.NextRemote(now)
-		if elsewhere && n.exceedsHysteresis(p, local, waits, remote) && n.yieldSlots(now, p, u, remote, waits) {
+		local, hasLocal := p.accounts.NextLocal(now)
+		remote, hasRemote := p.accounts.NextRemote(now)
+		if hasRemote && n.exceedsHysteresis(p, local, hasLocal, remote) && n.yieldSlots(now, p, u, remote, hasLocal) {
 			continue
 		}
-		if !waits {
+		if !hasLocal {
 			return
 		}
 		n.dispatch(now, p, local)
 	}
 }
 
-// exceedsHysteresis reports whether the local candidate is exceedsHysteresis of the remote one by more
-// than the hysteresis, or there is no local one.
-func (n *Node) exceedsHysteresis(p *pool, local fairness.Candidate, waits bool, remote fairness.Candidate) bool {
-	if !waits {
+// exceedsHysteresis reports whether the local candidate is ahead of the remote
+// one by more than the hysteresis, or there is no local one.
+func (n *Node) exceedsHysteresis(p *pool, local fairness.Candidate, hasLocal bool, remote fairness.Candidate) bool {
+	if !hasLocal {
 		return true
 	}
 	return local.Key-remote.Key > n.cfg.Hysteresis*p.accounts.MeanCost()
@@ -58,13 +59,13 @@
 	n.emit(Dispatch{Request: id, Upstream: u.ID, LeaseExpiry: u.holder.LeaseExpiry()})
 }
 
-// yieldSlots gives an idle slot up for the remote candidate, and half of the upstream's
-// idle ones where no work waits here: a router that had to ask is short of them.
-// It returns false if slots can't go back, since their home has not taken in the
-// claim yet.
-func (n *Node) yieldSlots(now time.Time, p *pool, u *upstream, remote fairness.Candidate, waits bool) bool {
+// yieldSlots returns an idle slot for the remote candidate, or half of the
+// upstream's idle slots if no request waits here, since a router that had to
+// request slots is short of them. It returns false if the slots can't be
+// returned because their home has not yet accepted the claim.
+func (n *Node) yieldSlots(now time.Time, p *pool, u *upstream, remote fairness.Candidate, hasLocal bool) bool {
 	slots := 1
-	if !waits {
+	if !hasLocal {
 		slots = (u.idle(now) + 1) / 2
 	}
 	if !n.returnSlots(u, slots) {
@@ -91,7 +92,7 @@
 	return true
 }
 
-// returnRecalled gives back idle slots that the home asked for.
+// returnRecalled returns idle slots that the home recalled.
 func (n *Node) returnRecalled(now time.Time, p *pool) {
 	for _, u := range p.upstreams {
 		recalled := min(u.holder.Recalled(), u.holder.Idle(now))
--- a/sched/send.go
+++ b/sched/send.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// flush sends what peers must learn now, and heartbeats that are due.
+// flush sends pending messages to the peers, and heartbeats that are due.
 func (n *Node) flush(now time.Time) {
 	for _, name := range slices.Sorted(maps.Keys(n.links)) {
 		l := n.links[name]
@@ -25,7 +25,7 @@
 		Seq: l.lastSent, LiveHash: n.liveHash, Missed: l.requestFull, Joining: !n.joined, Leaving: n.leaving,
 	}
 	if l.urgent || now.Sub(l.ackSentAt) >= n.cfg.Heartbeat {
-		// Leases live for several heartbeats, so more would only cost bytes.
+		// A lease lasts for several heartbeats, so more acknowledgements would only cost bytes.
 		s.Ack = l.lastReceived
 		l.ackSentAt = now
 	}
--- a/sched/settings.go
+++ b/sched/settings.go
@@ -2,14 +2,14 @@
 
 import "github.com/aspenswitch/aspenswitch/fairness"
 
-// Settings is the part of the bundle that the core decides by.
+// Settings is the part of the bundle that scheduling depends on.
 type Settings struct {
 	Pools     []int
 	Teams     []TeamShare
 	Upstreams []Upstream
 }
 
-// TeamShare is a team and the share it is owed; shares are relative.
+// TeamShare is a team and its share; shares are relative.
 type TeamShare struct {
 	Team  fairness.TeamID
 	Share float64
@@ -20,6 +20,7 @@
 	ID    int
 	Pool  int
 	Slots int
-	// Draining upstreams get no new work; their running requests end.
+	// Draining upstreams get no new requests; their running requests continue to
+	// the end.
 	Draining bool
 }
--- a/sched/tick.go
+++ b/sched/tick.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Tick does what time alone brings about. Call it every 50 to 100 ms.
+// Tick handles timeouts and periodic work. Call it every 50 to 100 ms.
 func (n *Node) Tick(now time.Time) {
 	if now.Sub(n.lastTickAt) >= n.cfg.LeaseTTL {
 		n.resumeAfterPause(now)
@@ -16,7 +16,7 @@
 		n.linkTo(name)
 	}
 	n.refreshLive(now)
-	// Where every router starts at once nobody has a snapshot to give.
+	// If all routers start at the same time, none has a snapshot to send.
 	n.joined = n.joined || now.Sub(n.startedAt) > 2*n.cfg.Heartbeat
 	for _, id := range slices.Sorted(maps.Keys(n.pools)) {
 		n.tickPool(now, n.pools[id])
@@ -28,15 +28,16 @@
 	n.redialSilent(now)
 }
 
-// redialSilent asks for a new connection to each peer that has not acknowledged
-// a message for more than a heartbeat. A connection that has gone silent looks
-// like a dead peer; a new one tells them apart before the peer is suspected.
+// redialSilent requests a new connection to each peer that has not acknowledged
+// a message for one and a half heartbeats. A connection that has stopped working
+// looks like a failed peer; a new one distinguishes the two before the peer is
+// suspected.
 func (n *Node) redialSilent(now time.Time) {
-	patience := n.cfg.Heartbeat + n.cfg.Heartbeat/2
+	timeout := n.cfg.Heartbeat + n.cfg.Heartbeat/2
 	for _, name := range slices.Sorted(maps.Keys(n.links)) {
 		l := n.links[name]
-		oldest, waits := l.oldestUnacked()
-		if !waits || now.Sub(oldest) < patience || now.Sub(l.redialedAt) < patience {
+		oldest, unacked := l.oldestUnacked()
+		if !unacked || now.Sub(oldest) < timeout || now.Sub(l.redialedAt) < timeout {
 			continue
 		}
 		l.redialedAt = now
@@ -45,10 +46,10 @@
 	}
 }
 
-// resumeAfterPause begins again after a pause of a lease time or more. The peers have
-// re-homed this router's upstreams and may have granted every slot, so its own
-// books are void like its leases; without this a paused home would send on
-// slots that it granted itself before the pause.
+// resumeAfterPause voids this router's own lease tables and leases after a pause
+// of a lease time or more. The peers have reassigned its upstreams to other
+// homes and may have granted every slot; without this, a home that was paused
+// would send on slots that it granted itself before the pause.
 func (n *Node) resumeAfterPause(now time.Time) {
 	n.lastTickAt = now
 	for _, p := range n.pools {
