--- a/sched/dump.go
+++ b/sched/dump.go
@@ -8,7 +8,7 @@
 	"github.com/aspenswitch/aspenswitch/fairness"
 )
 
-// Dump is a node's whole state for operators.
+// Dump is the complete state of a node, for operators.
 type Dump struct {
 	Router      string     `json:"router"`
 	Incarnation uint64     `json:"incarnation"`
@@ -21,7 +21,7 @@
 	Peers       []PeerDump `json:"peers"`
 }
 
-// PoolDump is one pool's state.
+// PoolDump is the state of one pool.
 type PoolDump struct {
 	Pool      int                 `json:"pool"`
 	MeanCost  float64             `json:"meanCostSeconds"`
@@ -29,7 +29,7 @@
 	Upstreams []UpstreamDump      `json:"upstreams"`
 }
 
-// UpstreamDump is one upstream as this router sees it.
+// UpstreamDump is the state of one upstream at this router.
 type UpstreamDump struct {
 	Upstream   int     `json:"upstream"`
 	Home       string  `json:"home"`
@@ -45,7 +45,7 @@
 	AvoidedFor float64 `json:"avoidedForSeconds,omitempty"`
 }
 
-// PeerDump is one link's state.
+// PeerDump is the state of the link to one peer.
 type PeerDump struct {
 	Peer            string  `json:"peer"`
 	Incarnation     uint64  `json:"incarnation"`
@@ -67,8 +67,8 @@
 	for _, name := range slices.Sorted(maps.Keys(n.links)) {
 		l := n.links[name]
 		d.Peers = append(d.Peers, PeerDump{
-			Peer: name, Incarnation: l.incarnation, LastReceivedAgo: now.Sub(l.heardAt).Seconds(),
-			LastSentSeq: l.seq, LastReceivedSeq: l.heard, Unacked: len(l.times),
+			Peer: name, Incarnation: l.incarnation, LastReceivedAgo: now.Sub(l.receivedAt).Seconds(),
+			LastSentSeq: l.lastSent, LastReceivedSeq: l.lastReceived, Unacked: len(l.unackedSentAt),
 		})
 	}
 	return d
@@ -84,13 +84,13 @@
 
 func (u *upstream) dump(now time.Time) UpstreamDump {
 	d := UpstreamDump{
-		Upstream: u.ID, Home: u.holding.Home(), Held: u.holding.Held(), InUse: u.holding.InUse(),
-		LeaseLeft: max(u.holding.LeaseExpiry().Sub(now).Seconds(), 0), Limit: u.limit.Limit(),
+		Upstream: u.ID, Home: u.holder.Home(), Held: u.holder.Held(), InUse: u.holder.InUse(),
+		LeaseLeft: max(u.holder.LeaseExpiry().Sub(now).Seconds(), 0), Limit: u.limit.Limit(),
 		Draining: u.Draining, Queued: u.load.Queued,
 		AvoidedFor: max(u.avoidUntil.Sub(now).Seconds(), 0),
 	}
-	if u.book != nil {
-		d.IsHome, d.Granted, d.Free, d.Limit = true, u.book.Granted(), u.book.Free(now), u.book.Limit()
+	if u.table != nil {
+		d.IsHome, d.Granted, d.Free, d.Limit = true, u.table.Granted(), u.table.Free(now), u.table.Limit()
 	}
 	return d
 }
--- a/sched/fleet_test.go
+++ b/sched/fleet_test.go
@@ -22,24 +22,24 @@
 	reportEvery = 500 * time.Millisecond
 )
 
-// sent is a request on an upstream.
-type sent struct {
-	node     int
-	upstream int
-	team     fairness.TeamID
-	at       time.Time
-	until    time.Time
+// testRequest is a request that waits at a node or runs on an upstream.
+type testRequest struct {
+	node      int
+	upstream  int
+	team      fairness.TeamID
+	startedAt time.Time
+	until     time.Time
 }
 
-// envelope is a message on its way.
-type envelope struct {
-	from, to int
-	at       time.Time
-	raw      []byte
+// packet is a message in transit.
+type packet struct {
+	from, to  int
+	deliverAt time.Time
+	raw       []byte
 }
 
-// fleet is a few nodes, a network that can be cut, and virtual time. Requests
-// run until the test ends them or their cost is over.
+// fleet is a few nodes, a network that can be partitioned, and virtual time.
+// Requests run until the test ends them or until their cost has elapsed.
 type fleet struct {
 	t        testing.TB
 	now      time.Time
@@ -48,10 +48,10 @@
 	paused   []bool
 	starts   int
 	settings sched.Settings
-	wires    []envelope
+	inFlight []packet
 	cut      map[[2]int]bool
-	mangle   func(envelope) []envelope
-	running  map[sched.RequestID]sent
+	perturb  func(packet) []packet
+	running  map[sched.RequestID]testRequest
 	refused  map[sched.RequestID]sched.Refuse
 	redials  map[[2]int]int
 	messages int
@@ -65,7 +65,7 @@
 func newFleet(t testing.TB, nodes, upstreams, slots int) *fleet {
 	f := &fleet{
 		t: t, now: time.Unix(1_700_000_000, 0), cut: map[[2]int]bool{},
-		running: map[sched.RequestID]sent{}, refused: map[sched.RequestID]sched.Refuse{},
+		running: map[sched.RequestID]testRequest{}, refused: map[sched.RequestID]sched.Refuse{},
 		redials: map[[2]int]int{}, service: map[fairness.TeamID]time.Duration{},
 		peak: map[int]int{}, rng: rand.New(rand.NewPCG(1, 2)),
 	}
@@ -87,7 +87,7 @@
 
 func name(i int) string { return fmt.Sprintf("vm%d", i+1) }
 
-// start begins a process without memory.
+// start starts a process without state.
 func (f *fleet) start(i int) {
 	f.starts++
 	cfg := sched.DefaultConfig(name(i), uint64(f.starts))
@@ -100,10 +100,10 @@
 	}
 	f.nodes[i].SetList(f.now, list)
 	f.nodes[i].Configure(f.now, f.settings)
-	f.act(i)
+	f.perform(i)
 }
 
-// kill ends a process and what it ran.
+// kill ends a process and its requests.
 func (f *fleet) kill(i int) {
 	f.up[i] = false
 	for id, s := range f.running {
@@ -111,11 +111,11 @@
 			delete(f.running, id)
 		}
 	}
-	f.wires = slices.DeleteFunc(f.wires, func(e envelope) bool { return e.from == i || e.to == i })
+	f.inFlight = slices.DeleteFunc(f.inFlight, func(p packet) bool { return p.from == i || p.to == i })
 }
 
-// part cuts or joins two groups of nodes.
-func (f *fleet) part(a, b []int, cut bool) {
+// setPartitioned cuts or restores the links between two groups of nodes.
+func (f *fleet) setPartitioned(a, b []int, cut bool) {
 	for _, x := range a {
 		for _, y := range b {
 			f.cut[[2]int{x, y}] = cut
@@ -124,7 +124,7 @@
 	}
 }
 
-func (f *fleet) act(i int) {
+func (f *fleet) perform(i int) {
 	for _, a := range f.nodes[i].Actions() {
 		switch a := a.(type) {
 		case sched.Dispatch:
@@ -145,7 +145,7 @@
 
 func (f *fleet) dispatch(i int, d sched.Dispatch) {
 	s := f.running[d.Request]
-	s.node, s.upstream, s.at, s.until = i, d.Upstream, f.now, d.LeaseExpiry
+	s.node, s.upstream, s.startedAt, s.until = i, d.Upstream, f.now, d.LeaseExpiry
 	f.running[d.Request] = s
 	f.peak[d.Upstream] = max(f.peak[d.Upstream], f.busy(d.Upstream))
 }
@@ -156,24 +156,24 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	e := envelope{from: i, to: f.index(a.To), at: f.now.Add(oneWay), raw: raw}
-	if f.cut[[2]int{e.from, e.to}] {
+	p := packet{from: i, to: f.index(a.To), deliverAt: f.now.Add(oneWay), raw: raw}
+	if f.cut[[2]int{p.from, p.to}] {
 		return
 	}
-	if f.mangle == nil {
-		f.wires = append(f.wires, e)
+	if f.perturb == nil {
+		f.inFlight = append(f.inFlight, p)
 		return
 	}
-	f.wires = append(f.wires, f.mangle(e)...)
+	f.inFlight = append(f.inFlight, f.perturb(p)...)
 }
 
-// arrive sends a request of a team to a node.
+// arrive submits a request of a team to a node.
 func (f *fleet) arrive(i int, team fairness.TeamID) sched.RequestID {
 	f.lastID++
 	id := f.lastID
-	f.running[id] = sent{team: team, node: -1}
+	f.running[id] = testRequest{team: team, node: -1}
 	f.nodes[i].Submit(f.now, sched.Request{ID: id, Team: team, Pool: 1})
-	f.act(i)
+	f.perform(i)
 	if _, refused := f.refused[id]; refused {
 		delete(f.running, id)
 	}
@@ -184,17 +184,17 @@
 func (f *fleet) finish(id sched.RequestID) {
 	s := f.running[id]
 	delete(f.running, id)
-	f.service[s.team] += f.now.Sub(s.at)
+	f.service[s.team] += f.now.Sub(s.startedAt)
 	if f.up[s.node] {
 		f.nodes[s.node].Finish(f.now, id)
-		f.act(s.node)
+		f.perform(s.node)
 	}
 }
 
-// run lets time pass in steps of a millisecond.
+// run advances time in steps of a millisecond.
 func (f *fleet) run(d time.Duration) { f.runWith(d, func() {}) }
 
-// runWith calls each after every step.
+// runWith advances time and calls each after every step.
 func (f *fleet) runWith(d time.Duration, each func()) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.now = f.now.Add(time.Millisecond)
@@ -211,35 +211,36 @@
 }
 
 func (f *fleet) deliver() {
-	var later []envelope
-	wires := f.wires
-	f.wires = nil
-	for _, e := range wires {
-		if e.at.After(f.now) || f.paused[e.to] {
-			later = append(later, e)
+	var later []packet
+	packets := f.inFlight
+	f.inFlight = nil
+	for _, p := range packets {
+		if p.deliverAt.After(f.now) || f.paused[p.to] {
+			later = append(later, p)
 			continue
 		}
-		if !f.up[e.to] || f.cut[[2]int{e.from, e.to}] {
+		if !f.up[p.to] || f.cut[[2]int{p.from, p.to}] {
 			continue
 		}
 		var s sched.Sync
-		if err := json.Unmarshal(e.raw, &s); err != nil {
+		if err := json.Unmarshal(p.raw, &s); err != nil {
 			f.t.Fatal(err)
 		}
-		f.nodes[e.to].Receive(f.now, s)
-		f.act(e.to)
+		f.nodes[p.to].Receive(f.now, s)
+		f.perform(p.to)
 	}
-	f.wires = append(later, f.wires...)
+	f.inFlight = append(later, f.inFlight...)
 }
 
-// endRequests ends those that have run for the fleet's cost, oldest id first.
+// endRequests ends the requests that have run for the fleet's cost, in the order
+// of their IDs.
 func (f *fleet) endRequests() {
 	if f.cost == 0 {
 		return
 	}
 	var done []sched.RequestID
 	for id, s := range f.running {
-		if !s.at.IsZero() && f.now.Sub(s.at) >= f.cost && !f.paused[s.node] {
+		if !s.startedAt.IsZero() && f.now.Sub(s.startedAt) >= f.cost && !f.paused[s.node] {
 			done = append(done, id)
 		}
 	}
@@ -253,12 +254,12 @@
 	for i, n := range f.nodes {
 		if f.up[i] && !f.paused[i] {
 			n.Tick(f.now)
-			f.act(i)
+			f.perform(i)
 		}
 	}
 }
 
-// reportLoads lets each home read its upstreams' own reports.
+// reportLoads passes the load of each upstream to its home.
 func (f *fleet) reportLoads() {
 	for i, n := range f.nodes {
 		if !f.up[i] || f.paused[i] {
@@ -266,23 +267,23 @@
 		}
 		for _, u := range n.HomedUpstreams() {
 			n.ObserveLoad(f.now, u.Pool, u.ID, limits.Load{Running: min(f.busy(u.ID), u.Slots), Queued: max(f.busy(u.ID)-u.Slots, 0)})
-			f.act(i)
+			f.perform(i)
 		}
 	}
 }
 
-// busy counts the requests on an upstream; 0 for all upstreams.
+// busy returns the number of requests on an upstream; 0 is for all upstreams.
 func (f *fleet) busy(upstream int) int {
 	n := 0
 	for _, s := range f.running {
-		if !s.at.IsZero() && (upstream == 0 || s.upstream == upstream) {
+		if !s.startedAt.IsZero() && (upstream == 0 || s.upstream == upstream) {
 			n++
 		}
 	}
 	return n
 }
 
-// backlog keeps each team's queue at a node filled.
+// backlog fills the queue of each team at a node.
 func (f *fleet) backlog(i int, teams ...fairness.TeamID) {
 	for _, team := range teams {
 		for f.nodes[i].Waiting(1, team) < 8 {
@@ -291,7 +292,7 @@
 	}
 }
 
-// slots is the number of slots of all upstreams.
+// slots returns the number of slots of all upstreams.
 func (f *fleet) slots() int {
 	n := 0
 	for _, u := range f.settings.Upstreams {
@@ -300,5 +301,5 @@
 	return n
 }
 
-// settle lets a new fleet find itself.
-func (f *fleet) settle() { f.run(6 * time.Second) }
+// converge runs a new fleet until its routers have found each other.
+func (f *fleet) converge() { f.run(6 * time.Second) }
--- a/sched/node.go
+++ b/sched/node.go
@@ -15,7 +15,7 @@
 	"github.com/aspenswitch/aspenswitch/membership"
 )
 
-// Node is the decision core of one router. It is not safe for concurrent use:
+// Node is the scheduling core of one router. It is not safe for concurrent use:
 // the control goroutine owns it.
 type Node struct {
 	cfg      Config
@@ -27,40 +27,41 @@
 	live     []string
 	liveHash uint32
 	lastTerm uint64
-	// startedAt opens the first books; tickedAt tells a pause from a tick.
-	startedAt, tickedAt, reportedAt, askedAt time.Time
-	// joined is set once a peer's snapshot came, or when nobody has one.
+	// startedAt bounds the wait for a snapshot; lastTickAt is used to detect a
+	// pause of the process.
+	startedAt, lastTickAt, lastReportAt, lastSlotRequestAt time.Time
+	// joined is set once a peer's snapshot was applied, or when no peer has one.
 	joined  bool
 	leaving bool
 	actions []Action
 }
 
-// NewNode returns a node that knows no peer and has no settings.
+// NewNode returns a node without peers and settings.
 func NewNode(now time.Time, cfg Config) *Node {
 	return &Node{
-		cfg:       cfg,
-		view:      membership.NewView(cfg.Router, cfg.SuspectAfter),
-		pools:     map[int]*pool{},
-		requests:  map[RequestID]*Request{},
-		running:   map[RequestID]*running{},
-		links:     map[string]*link{},
-		live:      []string{cfg.Router},
-		startedAt: now,
-		tickedAt:  now,
+		cfg:        cfg,
+		view:       membership.NewView(cfg.Router, cfg.SuspectAfter),
+		pools:      map[int]*pool{},
+		requests:   map[RequestID]*Request{},
+		running:    map[RequestID]*running{},
+		links:      map[string]*link{},
+		live:       []string{cfg.Router},
+		startedAt:  now,
+		lastTickAt: now,
 	}
 }
 
-// Actions returns what is to be done since the last call, in order.
+// Actions returns the actions since the last call, in order.
 func (n *Node) Actions() []Action {
 	out := n.actions
 	n.actions = nil
 	return out
 }
 
-func (n *Node) do(a Action) { n.actions = append(n.actions, a) }
+func (n *Node) emit(a Action) { n.actions = append(n.actions, a) }
 
-// Configure takes in a bundle's settings. Running and waiting requests go on;
-// requests that wait for a pool that is gone are refused.
+// Configure applies the settings of a bundle. Running and waiting requests are
+// kept; requests that wait for a removed pool are refused.
 func (n *Node) Configure(now time.Time, s Settings) {
 	for _, id := range s.Pools {
 		p, ok := n.pools[id]
@@ -79,16 +80,16 @@
 		}
 		p.setUpstreams(n, s.Upstreams)
 	}
-	n.rehome(now)
-	n.wakeAll(now)
+	n.assignHomes(now)
+	n.scheduleAll(now)
 }
 
 func (n *Node) newPool(id int) *pool {
 	return &pool{
-		id:       id,
-		accounts: fairness.NewAccounts(n.cfg.Fairness, n.cfg.MeanCost),
-		queue:    fairness.NewQueue[RequestID](),
-		interval: n.cfg.MeanCost,
+		id:             id,
+		accounts:       fairness.NewAccounts(n.cfg.Fairness, n.cfg.MeanCost),
+		queue:          fairness.NewQueue[RequestID](),
+		finishInterval: n.cfg.MeanCost,
 	}
 }
 
@@ -96,7 +97,7 @@
 	for id, r := range n.requests {
 		if r.Pool == p.id {
 			delete(n.requests, id)
-			n.do(Refuse{Request: id, Reason: NoPool, RetryAfter: minRetryAfter})
+			n.emit(Refuse{Request: id, Reason: NoPool, RetryAfter: minRetryAfter})
 		}
 	}
 	if p.running() == 0 {
@@ -107,54 +108,56 @@
 	p.queue = fairness.NewQueue[RequestID]()
 }
 
-// setUpstreams keeps what is known of upstreams that stay. One that is gone
-// stays as leaving until its last request has ended.
+// setUpstreams updates the upstreams of the pool and keeps the state of those
+// that remain. A removed upstream stays as draining until its last request has
+// ended.
 func (p *pool) setUpstreams(n *Node, all []Upstream) {
-	kept := map[int]*upstream{}
+	remaining := map[int]*upstream{}
 	for _, u := range p.upstreams {
-		kept[u.ID] = u
+		remaining[u.ID] = u
 	}
 	p.upstreams = nil
 	for _, s := range all {
 		if s.Pool != p.id {
 			continue
 		}
-		u, ok := kept[s.ID]
+		u, ok := remaining[s.ID]
 		if !ok {
-			u = &upstream{holding: lease.NewHolder(s.ID), limit: limits.NewAdaptiveLimit(s.Slots)}
+			u = &upstream{holder: lease.NewHolder(s.ID), limit: limits.NewAdaptiveLimit(s.Slots)}
 		}
 		u.Upstream = s
 		u.limit.SetMax(s.Slots)
 		p.upstreams = append(p.upstreams, u)
-		delete(kept, s.ID)
+		delete(remaining, s.ID)
 	}
-	for _, id := range slices.Sorted(maps.Keys(kept)) {
-		u := kept[id]
+	for _, id := range slices.Sorted(maps.Keys(remaining)) {
+		u := remaining[id]
 		u.Draining = true
-		n.dropBook(u)
-		if u.holding.InUse() > 0 {
+		n.dropTable(u)
+		if u.holder.InUse() > 0 {
 			p.upstreams = append(p.upstreams, u)
 		}
 	}
 }
 
-func (n *Node) dropBook(u *upstream) {
-	if u.book == nil {
+func (n *Node) dropTable(u *upstream) {
+	if u.table == nil {
 		return
 	}
-	n.lastTerm = max(n.lastTerm, u.book.LastTerm())
-	u.book = nil
+	n.lastTerm = max(n.lastTerm, u.table.LastTerm())
+	u.table = nil
 }
 
-// SetList takes in the platform's list of VMs.
+// SetList applies the platform's list of VMs.
 func (n *Node) SetList(now time.Time, list []membership.Listed) {
 	n.view.SetList(list)
-	n.refresh(now)
+	n.refreshLive(now)
 	n.flush(now)
 }
 
-// refresh recomputes which routers are live and moves homes if that changed.
-func (n *Node) refresh(now time.Time) {
+// refreshLive recomputes which routers are live and reassigns homes if that
+// changed.
+func (n *Node) refreshLive(now time.Time) {
 	for name := range n.links {
 		reachable := n.view.Reachable(now, name)
 		for _, p := range n.pools {
@@ -167,61 +170,62 @@
 	}
 	n.live = live
 	n.liveHash = uint32(xxhash.Sum64String(strings.Join(live, " "))) | 1
-	n.unsettleAll()
-	n.rehome(now)
-	n.wakeAll(now)
+	n.resetConvergenceAll()
+	n.assignHomes(now)
+	n.scheduleAll(now)
 }
 
-// rehome finds every upstream's home among the live routers.
-func (n *Node) rehome(now time.Time) {
+// assignHomes selects every upstream's home among the live routers.
+func (n *Node) assignHomes(now time.Time) {
 	for _, p := range n.pools {
 		for _, u := range p.upstreams {
-			n.rehomeOne(now, u)
+			n.assignHome(now, u)
 		}
 	}
 }
 
-func (n *Node) rehomeOne(now time.Time, u *upstream) {
+func (n *Node) assignHome(now time.Time, u *upstream) {
 	home := membership.Home(n.live, upstreamKey(u.ID))
-	u.holding.SetHome(home, n.incarnationOf(home))
+	u.holder.SetHome(home, n.incarnationOf(home))
 	if home != n.cfg.Router {
-		n.dropBook(u)
-		if u.holding.ClaimPending() {
-			n.claim(u)
+		n.dropTable(u)
+		if u.holder.ClaimPending() {
+			n.queueClaim(u)
 		}
 		return
 	}
-	if u.book != nil {
+	if u.table != nil {
 		return
 	}
-	u.book = lease.NewTable(u.ID, u.limit.Limit(), n.lastTerm, now.Add(n.openDelay()))
+	u.table = lease.NewTable(u.ID, u.limit.Limit(), n.lastTerm, now.Add(n.gracePeriod()))
 	n.lastTerm++
-	n.reportSelf(u)
+	n.reportLocal(u)
 }
 
-// openDelay is how long a new book stays closed. A router alone in its list has
-// nobody whose leases it must wait out.
-func (n *Node) openDelay() time.Duration {
-	if _, listed := n.view.Visible(n.tickedAt); listed == 1 {
+// gracePeriod is the grace period of a new lease table. It is zero if this
+// router is the only listed one, since no other router can hold a lease.
+func (n *Node) gracePeriod() time.Duration {
+	if _, listed := n.view.Visible(n.lastTickAt); listed == 1 {
 		return 0
 	}
 	return n.cfg.LeaseTTL
 }
 
-// openBooks opens new books before their time once nobody is left whose slots
-// they could miss: every router that is listed or was heard is reachable, and has
-// said that it acts by the same live routers and so has claimed what it holds.
-// Without this a join or a graceful leave would close slots for a lease time.
-func (n *Node) openBooks(now time.Time) {
+// endGracePeriods ends the grace periods of new tables early once no router can
+// hold slots that they don't count: every router that is listed or sent a
+// message is reachable and has confirmed that it uses the same live routers, and
+// so has claimed the slots that it holds. Without it, a join or a graceful leave
+// would make slots unavailable for a lease time.
+func (n *Node) endGracePeriods(now time.Time) {
 	for _, name := range n.view.Peers(now) {
-		if !n.view.Reachable(now, name) || !n.linkTo(name).settled {
+		if !n.view.Reachable(now, name) || !n.linkTo(name).converged {
 			return
 		}
 	}
 	for _, p := range n.pools {
 		for _, u := range p.upstreams {
-			if u.book != nil {
-				u.book.EndGrace(now)
+			if u.table != nil {
+				u.table.EndGrace(now)
 			}
 		}
 	}
@@ -245,9 +249,9 @@
 	return nil
 }
 
-// wakeAll looks again at every pool.
-func (n *Node) wakeAll(now time.Time) {
+// scheduleAll uses the idle slots of every pool.
+func (n *Node) scheduleAll(now time.Time) {
 	for _, id := range slices.Sorted(maps.Keys(n.pools)) {
-		n.wake(now, n.pools[id])
+		n.schedule(now, n.pools[id])
 	}
 }
--- a/sched/tick.go
+++ b/sched/tick.go
@@ -6,91 +6,92 @@
 	"time"
 )
 
-// Tick does what time alone brings about. Call it every 50 to 100 ms.
+// Tick handles timeouts and periodic work. Call it every 50 to 100 ms.
 func (n *Node) Tick(now time.Time) {
-	if now.Sub(n.tickedAt) >= n.cfg.LeaseTTL {
-		n.woke(now)
+	if now.Sub(n.lastTickAt) >= n.cfg.LeaseTTL {
+		n.resumeAfterPause(now)
 	}
-	n.tickedAt = now
+	n.lastTickAt = now
 	for _, name := range n.view.Peers(now) {
 		n.linkTo(name)
 	}
-	n.refresh(now)
-	// Where every router starts at once nobody has a snapshot to give.
+	n.refreshLive(now)
+	// If all routers start at the same time, none has a snapshot to send.
 	n.joined = n.joined || now.Sub(n.startedAt) > 2*n.cfg.Heartbeat
 	for _, id := range slices.Sorted(maps.Keys(n.pools)) {
 		n.tickPool(now, n.pools[id])
 	}
-	n.dropLate(now)
-	n.askAgain(now)
-	n.reportDue(now)
+	n.refuseExpired(now)
+	n.retrySlotRequest(now)
+	n.reportIfDue(now)
 	n.flush(now)
 	n.redialSilent(now)
 }
 
-// redialSilent asks for a new connection to each peer that has not acknowledged
-// a message for more than a heartbeat. A connection that has gone silent looks
-// like a dead peer; a new one tells them apart before the peer is suspected.
+// redialSilent requests a new connection to each peer that has not acknowledged
+// a message for one and a half heartbeats. A connection that has stopped working
+// looks like a failed peer; a new one distinguishes the two before the peer is
+// suspected.
 func (n *Node) redialSilent(now time.Time) {
-	patience := n.cfg.Heartbeat + n.cfg.Heartbeat/2
+	timeout := n.cfg.Heartbeat + n.cfg.Heartbeat/2
 	for _, name := range slices.Sorted(maps.Keys(n.links)) {
 		l := n.links[name]
-		oldest, waits := l.oldestUnacked()
-		if !waits || now.Sub(oldest) < patience || now.Sub(l.redialedAt) < patience {
+		oldest, unacked := l.oldestUnacked()
+		if !unacked || now.Sub(oldest) < timeout || now.Sub(l.redialedAt) < timeout {
 			continue
 		}
 		l.redialedAt = now
 		l.urgent = true
-		n.do(Redial{To: name})
+		n.emit(Redial{To: name})
 	}
 }
 
-// woke begins again after a pause of a lease time or more. The peers have
-// re-homed this router's upstreams and may have granted every slot, so its own
-// books are void like its leases; without this a paused home would send on
-// slots that it granted itself before the pause.
-func (n *Node) woke(now time.Time) {
-	n.tickedAt = now
+// resumeAfterPause voids this router's own lease tables and leases after a pause
+// of a lease time or more. The peers have reassigned its upstreams to other
+// homes and may have granted every slot; without this, a home that was paused
+// would send on slots that it granted itself before the pause.
+func (n *Node) resumeAfterPause(now time.Time) {
+	n.lastTickAt = now
 	for _, p := range n.pools {
 		for _, u := range p.upstreams {
-			u.holding.Expire(now)
-			n.dropBook(u)
+			u.holder.Expire(now)
+			n.dropTable(u)
 		}
 	}
-	n.unsettleAll()
-	n.rehome(now)
+	n.resetConvergenceAll()
+	n.assignHomes(now)
 }
 
 func (n *Node) tickPool(now time.Time, p *pool) {
 	p.accounts.ClampLag(now)
 	for _, u := range p.upstreams {
-		if u.book != nil {
-			u.book.Renew(n.cfg.Router, n.cfg.Incarnation, n.ownLease())
-			u.holding.Extend(n.ownLease())
-			u.book.Expire(now)
+		if u.table != nil {
+			u.table.Renew(n.cfg.Router, n.cfg.Incarnation, n.ownLeaseExpiry())
+			u.holder.Extend(n.ownLeaseExpiry())
+			u.table.Expire(now)
 			n.setLimit(now, u)
-			if u.holding.ClaimPending() {
-				n.reportSelf(u)
+			if u.holder.ClaimPending() {
+				n.reportLocal(u)
 			}
 			continue
 		}
-		if u.holding.Expire(now) || u.holding.ClaimPending() {
-			n.claim(u)
+		if u.holder.Expire(now) || u.holder.ClaimPending() {
+			n.queueClaim(u)
 		}
 	}
-	n.wake(now, p)
-	n.park(now, p)
-	n.wake(now, p)
+	n.schedule(now, p)
+	n.distributeFree(now, p)
+	n.schedule(now, p)
 }
 
-func (n *Node) claim(u *upstream) {
-	if home := u.holding.Home(); home != "" && n.view.Incarnation(home) != 0 {
+func (n *Node) queueClaim(u *upstream) {
+	if home := u.holder.Home(); home != "" && n.view.Incarnation(home) != 0 {
 		n.linkTo(home).reports[u.ID] = true
 	}
 }
 
-// dropLate refuses waiting requests whose deadline has passed.
-func (n *Node) dropLate(now time.Time) {
+// refuseExpired refuses waiting requests whose deadline has passed.
+func (n *Node) refuseExpired(now time.Time) {
 	for _, id := range slices.Sorted(maps.Keys(n.requests)) {
 		r := n.requests[id]
 		if r.Deadline.IsZero() || now.Before(r.Deadline) {
@@ -100,6 +101,6 @@
 		delete(n.requests, id)
 		p.queue.Remove(r.Team, id)
 		p.accounts.SetWaiting(now, r.Team, p.queue.Waiting(r.Team))
-		n.do(Refuse{Request: id, Reason: DeadlinePassed, RetryAfter: n.retryAfter(p, r.Team)})
+		n.emit(Refuse{Request: id, Reason: DeadlinePassed, RetryAfter: n.retryAfter(p, r.Team)})
 	}
 }
