--- a/gateway/header_names.go
+++ b/gateway/header_names.go
@@ -6,7 +6,7 @@
 	RequestID string
 	// Deadline is the time left, in milliseconds.
 	Deadline string
-	// Upstream is the ID of the upstream that a request is addressed to.
+	// Upstream is the ID of the upstream incarnation that a request is addressed to.
 	Upstream string
 	// Team is the name of the team that the caller's key belongs to.
 	Team string
--- a/gateway/stats.go
+++ b/gateway/stats.go
@@ -49,7 +49,7 @@
 	withheldRegion    withheldReason = "region"
 )
 
-// latencyBuckets are exponential buckets from 1 ms to 16 s.
+// latencyBuckets are exponential buckets with factor 2 from 1 ms to 16 s.
 var latencyBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 15)
 
 func (s *stats) begin() { s.requests.Inc(1) }
