--- a/bundlefeed/client.go
+++ b/bundlefeed/client.go
@@ -65,7 +65,7 @@
 }
 
 // VMs reads the list of VMs.
-func (c *Client) VMs(ctx context.Context) ([]membership.Listed, error) {
+func (c *Client) VMs(ctx context.Context) ([]membership.ListedVM, error) {
 	resp, err := c.get(ctx, "/v1/vms")
 	if err != nil {
 		return nil, err
@@ -74,7 +74,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, Error.New("list of VMs: %s", resp.Status)
 	}
-	var list []membership.Listed
+	var list []membership.ListedVM
 	err = json.NewDecoder(io.LimitReader(resp.Body, maxValue)).Decode(&list)
 	return list, Error.Wrap(err)
 }
--- a/callers/completions.go
+++ b/callers/completions.go
@@ -79,10 +79,10 @@
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return &upstream.Failure{Sent: true, Cause: err}
+		return &upstream.RequestError{Sent: true, Cause: err}
 	}
 	if busy(resp.StatusCode) {
-		return &upstream.Failure{Sent: true, Cause: fmt.Errorf("engine answered %s", resp.Status)}
+		return &upstream.RequestError{Sent: true, Cause: fmt.Errorf("engine answered %s", resp.Status)}
 	}
 	h := j.c.Response().Header()
 	copyHeader(h, resp.Header)
--- a/callers/job.go
+++ b/callers/job.go
@@ -122,7 +122,7 @@
 func (j *job) send(t *router.Ticket) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(j.sendCtx, j.method, "http://"+t.Upstream.Address+j.path, bytes.NewReader(j.body))
 	if err != nil {
-		return nil, &upstream.Failure{Cause: err}
+		return nil, &upstream.RequestError{Cause: err}
 	}
 	req.Header = j.header.Clone()
 	if err := j.mayStillSend(t); err != nil {
@@ -140,7 +140,7 @@
 
 func (j *job) mayStillSend(t *router.Ticket) error {
 	if !t.Valid() || (j.run != nil && !j.run.Usable()) {
-		return &upstream.Failure{Cause: errStale}
+		return &upstream.RequestError{Cause: errStale}
 	}
 	return nil
 }
--- a/callers/service.go
+++ b/callers/service.go
@@ -103,7 +103,7 @@
 	first := make([]byte, 32<<10)
 	n, err := io.ReadAtLeast(resp.Body, first, 1)
 	if err != nil && err != io.EOF {
-		return &upstream.Failure{Sent: true, Cause: err}
+		return &upstream.RequestError{Sent: true, Cause: err}
 	}
 	out.WriteHeader(resp.StatusCode)
 	if err := j.copyBody(kept, first[:n], resp.Body); err != nil {
@@ -135,7 +135,7 @@
 			return nil
 		}
 		if err != nil {
-			return &upstream.Failure{Sent: true, Cause: err}
+			return &upstream.RequestError{Sent: true, Cause: err}
 		}
 	}
 }
--- a/callers/stream.go
+++ b/callers/stream.go
@@ -90,7 +90,7 @@
 	}
 	s.cancelUpstream()
 	if !j.c.Response().Committed {
-		return &upstream.Failure{Sent: true, Cause: err}
+		return &upstream.RequestError{Sent: true, Cause: err}
 	}
 	return s.endWithError(err)
 }
--- a/cmd/aspenswitchd/fleet.go
+++ b/cmd/aspenswitchd/fleet.go
@@ -14,7 +14,7 @@
 // serveFleet serves until SIGTERM, then lets answers end. A second SIGTERM
 // changes nothing: the platform ends a process that takes too long.
 func serveFleet(file string, s settings.Fleet) error {
-	out := obs.NewAsync(os.Stdout)
+	out := obs.NewAsyncWriter(os.Stdout)
 	log := obs.NewLog(out, s.LogLevel, s.Name)
 	d, err := daemon.NewFleet(s, log)
 	if err != nil {
--- a/daemon/failures_test.go
+++ b/daemon/failures_test.go
@@ -55,7 +55,7 @@
 	// a new connection; the caller only sees a pause.
 	It("comes whole when the engine's connection goes silent", func() {
 		f := newFleet()
-		f.tune = func(c *router.Config) { c.Upstream.Idle = 300 * time.Millisecond }
+		f.tune = func(c *router.Config) { c.Upstream.IdleTimeout = 300 * time.Millisecond }
 		e := standin.NewEngine(standin.EngineConfig{Slots: 4, PerToken: 20 * time.Millisecond})
 		r := newRelay(serve(e.Handler()))
 		f.upstream(bundle.Upstream{Kind: bundle.Engine, Pool: "planning", Resumable: true, Slots: 4, Address: r.address()})
--- a/daemon/fleet.go
+++ b/daemon/fleet.go
@@ -73,7 +73,7 @@
 	cfg.ShutdownDelay = min(cfg.ShutdownDelay, cfg.GracePeriod/2)
 	cfg.ForwardPeriod = min(cfg.ForwardPeriod, cfg.GracePeriod/3)
 	budget := retry.Budget{Ratio: s.Bounds.RetryRatio, Allowance: s.Bounds.RetryAllowance, Window: s.Bounds.RetryWindow()}
-	d.gateway = gateway.New(cfg, d.feed, node, d.pool, budget, obs.NewLimited(log, s.LogLines), d.metrics)
+	d.gateway = gateway.New(cfg, d.feed, node, d.pool, budget, obs.NewLimitedLogger(log, s.LogLines), d.metrics)
 	return d, nil
 }
 
@@ -82,7 +82,7 @@
 	cfg.IP, cfg.Port, cfg.Domain, cfg.Weight = s.Peers.IP, s.Peers.Port, s.FailureDomain, s.Processor
 	cfg.Seeds = seedIPs(s.Peers.Seeds)
 	// A view that its own router would renew is too old to pass on.
-	cfg.MaxLeaderStateAge = feed.DefaultConfig(s.Bounds.Revoke(), s.Bounds.Apply()).StaleAfter
+	cfg.MaxLeaderStateAge = feed.DefaultConfig(s.Bounds.Revoke(), s.Bounds.Apply()).MaxFollowerAge
 	// A view passes two routers on its way and must arrive well before that age.
 	cfg.StatePollInterval = cfg.MaxLeaderStateAge / 6
 	cfg.Regions, cfg.WarmUp = s.Regions, s.Bounds.WarmUp()
@@ -172,7 +172,7 @@
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			d.pool.Sweep(now)
+			d.pool.CloseExpired(now)
 		}
 	}
 }
@@ -180,7 +180,7 @@
 // Ready reports whether the balancer should send connections here: not while
 // stopping, and not while this router's view is too old to serve.
 func (d *Fleet) Ready() bool {
-	return !d.gateway.Stopping() && d.feed.Snapshot() != nil && d.feed.Authorized()
+	return !d.gateway.Stopping() && d.feed.Snapshot() != nil && d.feed.Fresh()
 }
 
 func (d *Fleet) readiness() http.Handler {
--- a/daemon/fleet_test.go
+++ b/daemon/fleet_test.go
@@ -195,9 +195,9 @@
 
 // list publishes the VMs that are given.
 func (f *fleet) list(members ...*member) {
-	var list []membership.Listed
+	var list []membership.ListedVM
 	for _, m := range members {
-		list = append(list, membership.Listed{Name: m.name, FailureDomain: "a", Address: f.address(m.name, m.daemon.Addresses())})
+		list = append(list, membership.ListedVM{Name: m.name, FailureDomain: "a", Address: f.address(m.name, m.daemon.Addresses())})
 	}
 	raw, err := json.Marshal(list)
 	Expect(err).NotTo(HaveOccurred())
--- a/experiment/run.go
+++ b/experiment/run.go
@@ -67,10 +67,10 @@
 	return n
 }
 
-func (r *run) list() []membership.Listed {
-	var list []membership.Listed
+func (r *run) list() []membership.ListedVM {
+	var list []membership.ListedVM
 	for i := range r.design.Nodes(r.load) {
-		list = append(list, membership.Listed{Name: nodeName(i)})
+		list = append(list, membership.ListedVM{Name: nodeName(i)})
 	}
 	return list
 }
--- a/feed/changelog_test.go
+++ b/feed/changelog_test.go
@@ -59,7 +59,7 @@
 				revision++
 				id := fmt.Sprint("u", rapid.IntRange(0, 9).Draw(rt, "gone"))
 				delete(live, id)
-				reader.apply(Batch{Revision: revision, Changes: []Change{{Revision: revision, Gone: id}}}, clock())
+				reader.apply(Batch{Revision: revision, Changes: []Change{{Revision: revision, DeletedUpstream: id}}}, clock())
 			case 3:
 				pull(near, reader, clock())
 			case 4:
@@ -92,7 +92,7 @@
 	if !known {
 		return
 	}
-	to.Import(from.Export(to.Have()), now)
+	to.Import(from.Export(to.StateVersion()), now)
 }
 
 // config1 is a configuration; without one a router has no state to give.
--- a/feed/config.go
+++ b/feed/config.go
@@ -14,12 +14,12 @@
 	// CallMargin is how much longer than its wait a call may take. It answers a
 	// platform that is sixty times slower than its usual 4 ms.
 	CallMargin time.Duration
-	// StaleAfter is the age of the newest confirmed state from which a router
+	// MaxFollowerAge is the age of the newest confirmed state from which a router
 	// that relies on its peers reads by itself.
-	StaleAfter time.Duration
-	// Authority is how long a confirmed state may be acted upon: until then a
+	MaxFollowerAge time.Duration
+	// MaxServingAge is how long a confirmed state may be acted upon: until then a
 	// key that has been taken away may still be served.
-	Authority time.Duration
+	MaxServingAge time.Duration
 	// BackoffMin and BackoffMax bound the pause between failed reads.
 	BackoffMin, BackoffMax time.Duration
 }
@@ -42,10 +42,10 @@
 		// without a sign. The others must then read by themselves and still be in
 		// time. In good order a view is younger: two waits, and the way over two
 		// routers.
-		StaleAfter: min(apply*3/4, revoke*6/10),
+		MaxFollowerAge: min(apply*3/4, revoke*6/10),
 		// The last tenth is left for requests that wait in an upstream's queue.
-		Authority:  revoke * 9 / 10,
-		BackoffMin: 50 * time.Millisecond,
-		BackoffMax: 800 * time.Millisecond,
+		MaxServingAge: revoke * 9 / 10,
+		BackoffMin:    50 * time.Millisecond,
+		BackoffMax:    800 * time.Millisecond,
 	}
 }
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -59,24 +59,24 @@
 // Calls is the number of calls made to the platform.
 func (f *Feed) Calls() int64 { return f.calls.Load() }
 
-// FreshAt is the moment as of which the snapshot was confirmed, 0 if never.
-func (f *Feed) FreshAt() boottime.Time { return boottime.Time(f.fresh.Load()) }
+// ConfirmedAt is the moment as of which the snapshot was confirmed, 0 if never.
+func (f *Feed) ConfirmedAt() boottime.Time { return boottime.Time(f.fresh.Load()) }
 
 // Age is how long ago the snapshot was confirmed.
 func (f *Feed) Age() time.Duration {
-	at := f.FreshAt()
+	at := f.ConfirmedAt()
 	if at == 0 {
 		return time.Hour
 	}
 	return f.now().Sub(at)
 }
 
-// Authorized reports whether the snapshot is fresh enough to act upon.
+// Fresh reports whether the snapshot is fresh enough to act upon.
 //
 // A key that was taken away must not be served for longer than the operators'
 // bound. A router that no longer hears of changes can't know, so its right to
 // serve keyed requests ends by itself.
-func (f *Feed) Authorized() bool { return f.Age() < f.cfg.Authority }
+func (f *Feed) Fresh() bool { return f.Age() < f.cfg.MaxServingAge }
 
 // confirm dates the snapshot; a date only moves forward. One that lies ahead is a
 // fault of whoever gave it, and would keep the right to serve for as long.
@@ -135,14 +135,14 @@
 // though their upstreams live; those get the time to come back.
 func (f *Feed) remove(c Change) {
 	now := f.now()
-	f.changes.add(c.Revision, c.Gone)
+	f.changes.add(c.Revision, c.DeletedUpstream)
 	if f.regained != 0 && now.Sub(f.regained) < returnTime {
-		f.upstream.Lapse(c.Gone, now.Add(registry.LapseGrace))
-		f.log.Info().Str("event", "upstream").Str("upstream", c.Gone).Int64("revision", c.Revision).Msg("upstream lapsed")
+		f.upstream.Lapse(c.DeletedUpstream, now.Add(registry.LapseGrace))
+		f.log.Info().Str("event", "upstream").Str("upstream", c.DeletedUpstream).Int64("revision", c.Revision).Msg("upstream lapsed")
 		return
 	}
-	f.upstream.Delete(c.Gone, c.Revision)
-	f.log.Info().Str("event", "upstream").Str("upstream", c.Gone).Int64("revision", c.Revision).Msg("upstream gone")
+	f.upstream.Delete(c.DeletedUpstream, c.Revision)
+	f.log.Info().Str("event", "upstream").Str("upstream", c.DeletedUpstream).Int64("revision", c.Revision).Msg("upstream gone")
 }
 
 const (
@@ -228,8 +228,8 @@
 	go f.expireAll(ctx)
 	backoff, failures := f.cfg.BackoffMin, 0
 	for ctx.Err() == nil {
-		if f.Snapshot() != nil && !f.reads() && f.Age() < f.cfg.StaleAfter {
-			pause(ctx, f.cfg.StaleAfter/8)
+		if f.Snapshot() != nil && !f.reads() && f.Age() < f.cfg.MaxFollowerAge {
+			pause(ctx, f.cfg.MaxFollowerAge/8)
 			continue
 		}
 		began := f.now()
@@ -266,8 +266,8 @@
 // platform would be asked by all at once when it is.
 func (f *Feed) awaitPeers(ctx context.Context) {
 	until := f.now().Add(followerPause + rand.N(followerPause))
-	for ctx.Err() == nil && f.follows() && f.Age() >= f.cfg.StaleAfter && f.now() < until {
-		pause(ctx, f.cfg.StaleAfter/8)
+	for ctx.Err() == nil && f.follows() && f.Age() >= f.cfg.MaxFollowerAge && f.now() < until {
+		pause(ctx, f.cfg.MaxFollowerAge/8)
 	}
 }
 
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -95,10 +95,10 @@
 			return quiet(ctx, after, wait)
 		}})
 		time.Sleep(10 * time.Second)
-		g.Expect(f.Authorized()).To(BeTrue())
+		g.Expect(f.Fresh()).To(BeTrue())
 		cut.Store(true)
 		time.Sleep(revoke)
-		g.Expect(f.Authorized()).To(BeFalse())
+		g.Expect(f.Fresh()).To(BeFalse())
 	})
 }
 
@@ -110,7 +110,7 @@
 		time.Sleep(time.Second)
 		for range 600 {
 			time.Sleep(50 * time.Millisecond)
-			g.Expect(f.Authorized()).To(BeTrue())
+			g.Expect(f.Fresh()).To(BeTrue())
 			g.Expect(f.Age()).To(BeNumerically("<", revoke/2))
 		}
 	})
@@ -132,7 +132,7 @@
 		time.Sleep(time.Second)
 		for range 600 {
 			time.Sleep(50 * time.Millisecond)
-			g.Expect(f.Authorized()).To(BeTrue())
+			g.Expect(f.Fresh()).To(BeTrue())
 		}
 	})
 }
@@ -153,7 +153,7 @@
 		}})
 		time.Sleep(time.Second)
 		g.Expect(f.Snapshot().ConfigVersion()).To(Equal(int64(7)))
-		f.Import(&feed.Export{Revision: 99, Config: &routing.Config{Version: 6}}, 0)
+		f.Import(&feed.PeerState{Revision: 99, Config: &routing.Config{Version: 6}}, 0)
 		g.Expect(f.Snapshot().ConfigVersion()).To(Equal(int64(7)))
 	})
 }
@@ -165,13 +165,13 @@
 	now := boottime.Time(time.Hour)
 	f := feed.New(feed.DefaultConfig(revoke, apply), &scripted{}, func() boottime.Time { return now }, zerolog.Nop(), func() bool { return false }, func() {})
 	asked := now.Add(-2 * time.Second)
-	f.Import(&feed.Export{Revision: 4, AgeNanos: int64(time.Second), Config: &routing.Config{Version: 1}}, asked)
+	f.Import(&feed.PeerState{Revision: 4, AgeNanos: int64(time.Second), Config: &routing.Config{Version: 1}}, asked)
 	g.Expect(f.Age()).To(Equal(3 * time.Second))
-	g.Expect(f.Vouch(4, now.Add(-time.Second))).To(BeFalse())
+	g.Expect(f.ConfirmRevision(4, now.Add(-time.Second))).To(BeFalse())
 	g.Expect(f.Age()).To(Equal(time.Second))
-	g.Expect(f.Vouch(4, now.Add(-4*time.Second))).To(BeFalse())
+	g.Expect(f.ConfirmRevision(4, now.Add(-4*time.Second))).To(BeFalse())
 	g.Expect(f.Age()).To(Equal(time.Second), "an older word changes nothing")
-	g.Expect(f.Vouch(5, now)).To(BeTrue(), "the peer knows more")
+	g.Expect(f.ConfirmRevision(5, now)).To(BeTrue(), "the peer knows more")
 	g.Expect(f.Age()).To(Equal(time.Second), "its word isn't about this state")
 }
 
@@ -184,9 +184,9 @@
 	now := boottime.Time(time.Hour)
 	f := feed.New(feed.DefaultConfig(revoke, apply), &scripted{}, func() boottime.Time { return now }, zerolog.Nop(), func() bool { return false }, func() {})
 	asked := now.Add(-time.Second)
-	f.Import(&feed.Export{Revision: 4, Config: &routing.Config{Version: 1}, Upstreams: []registry.Upstream{{ID: "leaves", Revision: 2}}}, asked)
-	f.Import(&feed.Export{Revision: 9, Since: 7, Upstreams: []registry.Upstream{{ID: "comes", Revision: 8}}}, now)
-	g.Expect(f.Have().Revision).To(Equal(int64(4)))
+	f.Import(&feed.PeerState{Revision: 4, Config: &routing.Config{Version: 1}, Upstreams: []registry.Upstream{{ID: "leaves", Revision: 2}}}, asked)
+	f.Import(&feed.PeerState{Revision: 9, Since: 7, Upstreams: []registry.Upstream{{ID: "comes", Revision: 8}}}, now)
+	g.Expect(f.StateVersion().Revision).To(Equal(int64(4)))
 	g.Expect(f.Snapshot().View.Upstream("comes")).To(BeNil())
 	g.Expect(f.Age()).To(Equal(time.Second))
 }
@@ -197,14 +197,14 @@
 	g := NewWithT(t)
 	now := boottime.Time(time.Hour)
 	f := feed.New(feed.DefaultConfig(revoke, apply), &scripted{}, func() boottime.Time { return now }, zerolog.Nop(), func() bool { return false }, func() {})
-	f.Import(&feed.Export{Revision: 4, AgeNanos: int64(time.Second), Config: &routing.Config{Version: 1}}, now)
+	f.Import(&feed.PeerState{Revision: 4, AgeNanos: int64(time.Second), Config: &routing.Config{Version: 1}}, now)
 	g.Expect(f.Age()).To(Equal(time.Second))
-	f.Vouch(4, now.Add(time.Hour))
+	f.ConfirmRevision(4, now.Add(time.Hour))
 	g.Expect(f.Age()).To(Equal(time.Second))
-	f.Import(&feed.Export{Revision: 4, AgeNanos: -int64(time.Hour)}, now)
+	f.Import(&feed.PeerState{Revision: 4, AgeNanos: -int64(time.Hour)}, now)
 	g.Expect(f.Age()).To(Equal(time.Second))
 	now = now.Add(revoke)
-	g.Expect(f.Authorized()).To(BeFalse())
+	g.Expect(f.Fresh()).To(BeFalse())
 }
 
 // A suspended VM wakes with a view that is long out of date.
@@ -212,10 +212,10 @@
 	g := NewWithT(t)
 	now := boottime.Time(time.Hour)
 	f := feed.New(feed.DefaultConfig(revoke, apply), &scripted{}, func() boottime.Time { return now }, zerolog.Nop(), func() bool { return false }, func() {})
-	f.Import(&feed.Export{Revision: 4, Config: &routing.Config{Version: 1}}, now)
-	g.Expect(f.Authorized()).To(BeTrue())
+	f.Import(&feed.PeerState{Revision: 4, Config: &routing.Config{Version: 1}}, now)
+	g.Expect(f.Fresh()).To(BeTrue())
 	now = now.Add(revoke) // the boot clock went on; nothing of the process ran
-	g.Expect(f.Authorized()).To(BeFalse())
+	g.Expect(f.Fresh()).To(BeFalse())
 }
 
 // A change would come into force late: the routers that read the platform are
@@ -246,7 +246,7 @@
 		time.Sleep(time.Second)
 		// A reader vouches for the state three times a second, until it is cut off.
 		for range 30 {
-			f.Vouch(1, clock().Add(-2*feed.DefaultConfig(revoke, apply).WatchWait))
+			f.ConfirmRevision(1, clock().Add(-2*feed.DefaultConfig(revoke, apply).WatchWait))
 			time.Sleep(300 * time.Millisecond)
 		}
 		version.Store(2)
--- a/feed/lapse_test.go
+++ b/feed/lapse_test.go
@@ -62,7 +62,7 @@
 					return feed.Batch{}, errors.New("no way to the platform")
 				}
 				if after < 5 {
-					return feed.Batch{Changes: []feed.Change{{Revision: 5, Gone: "leaves"}}, Revision: 5}, nil
+					return feed.Batch{Changes: []feed.Change{{Revision: 5, DeletedUpstream: "leaves"}}, Revision: 5}, nil
 				}
 				return quiet(ctx, after, wait)
 			},
@@ -73,7 +73,7 @@
 		go f.Run(ctx)
 		for range 40 {
 			time.Sleep(100 * time.Millisecond)
-			f.Vouch(3, clock())
+			f.ConfirmRevision(3, clock())
 		}
 		g.Expect(f.Snapshot().View.Upstream("leaves")).NotTo(BeNil())
 		cut.Store(false)
@@ -93,7 +93,7 @@
 			case 1:
 				return feed.Batch{}, errors.New("connection reset")
 			case 2:
-				return feed.Batch{Changes: []feed.Change{{Revision: 5, Gone: "leaves"}}, Revision: 5}, nil
+				return feed.Batch{Changes: []feed.Change{{Revision: 5, DeletedUpstream: "leaves"}}, Revision: 5}, nil
 			}
 			return quiet(ctx, after, wait)
 		}})
@@ -117,7 +117,7 @@
 			case time.Since(begin) > 7*time.Second && after < 9:
 				return feed.Batch{Changes: []feed.Change{up("lives", 9)}, Revision: 9}, nil
 			case time.Since(begin) > 6*time.Second && after < 6:
-				return feed.Batch{Changes: []feed.Change{{Revision: 5, Gone: "lives"}, {Revision: 6, Gone: "leaves"}}, Revision: 6}, nil
+				return feed.Batch{Changes: []feed.Change{{Revision: 5, DeletedUpstream: "lives"}, {Revision: 6, DeletedUpstream: "leaves"}}, Revision: 6}, nil
 			}
 			return quiet(ctx, after, wait)
 		}})
@@ -142,7 +142,7 @@
 			case time.Since(begin) < outage:
 				return feed.Batch{}, errors.New("platform is away")
 			case after < 5:
-				return feed.Batch{Changes: []feed.Change{{Revision: 5, Gone: "leaves"}}, Revision: 5}, nil
+				return feed.Batch{Changes: []feed.Change{{Revision: 5, DeletedUpstream: "leaves"}}, Revision: 5}, nil
 			}
 			return quiet(ctx, after, wait)
 		}})
@@ -152,7 +152,7 @@
 		clock := func() boottime.Time { return boottime.Time(time.Since(begin) + time.Hour) }
 		peer := feed.New(feed.DefaultConfig(revoke, apply), &scripted{list: func(ctx context.Context) (feed.Batch, error) { return silent(ctx, 0, 0) }, watch: silent},
 			clock, zerolog.Nop(), func() bool { return false }, func() {})
-		peer.Import(f.Export(feed.Have{}), clock())
+		peer.Import(f.Export(feed.StateVersion{}), clock())
 		ctx, cancel := context.WithCancel(context.Background())
 		t.Cleanup(cancel)
 		go peer.Run(ctx)
@@ -173,20 +173,20 @@
 		follower := func() *feed.Feed {
 			away := func(context.Context) (feed.Batch, error) { return feed.Batch{}, errors.New("platform is away") }
 			f := feed.New(feed.DefaultConfig(revoke, apply), &scripted{list: away, watch: quiet}, clock, zerolog.Nop(), func() bool { return false }, func() {})
-			f.Import(&feed.Export{
+			f.Import(&feed.PeerState{
 				Revision: 16, Config: config(3).Config, Upstreams: []registry.Upstream{*up("leaves", 14).Upstream, *up("stays", 2).Upstream},
 			}, clock())
 			go f.Run(ctx)
 			return f
 		}
 		peer, late := follower(), follower()
-		peer.Import(&feed.Export{
+		peer.Import(&feed.PeerState{
 			Revision: 22, Since: 16, Upstreams: []registry.Upstream{*up("leaves", 14).Upstream},
 			Lapsed: map[string]int64{"leaves": int64(registry.LapseGrace)},
 		}, clock())
 		time.Sleep(registry.LapseGrace + time.Second)
 		g.Expect(peer.Snapshot().View.Upstream("leaves")).To(BeNil())
-		late.Import(peer.Export(late.Have()), clock())
+		late.Import(peer.Export(late.StateVersion()), clock())
 		g.Expect(late.Snapshot().Revision).To(Equal(int64(22)))
 		g.Expect(late.Snapshot().View.Upstream("leaves")).To(BeNil())
 		g.Expect(late.Snapshot().View.Upstream("stays")).NotTo(BeNil())
--- a/feed/peer.go
+++ b/feed/peer.go
@@ -8,14 +8,14 @@
 	"github.com/aspenswitch/aspenswitch/routing"
 )
 
-// Have is what a router has that asks a peer for its state.
-type Have struct {
+// StateVersion is what a router has that asks a peer for its state.
+type StateVersion struct {
 	ConfigVersion int64
 	Revision      int64
 }
 
-// Export is a router's state as its peers get it.
-type Export struct {
+// PeerState is a router's state as its peers get it.
+type PeerState struct {
 	Revision int64
 	// AgeNanos is how long ago the state was confirmed when it was sent.
 	AgeNanos int64
@@ -35,17 +35,17 @@
 	Evacuated map[string]int64 `json:",omitempty"`
 }
 
-// Have is what this router has.
-func (f *Feed) Have() Have {
+// StateVersion is what this router has.
+func (f *Feed) StateVersion() StateVersion {
 	s := f.Snapshot()
 	if s == nil {
-		return Have{}
+		return StateVersion{}
 	}
-	return Have{ConfigVersion: s.ConfigVersion(), Revision: s.Revision}
+	return StateVersion{ConfigVersion: s.ConfigVersion(), Revision: s.Revision}
 }
 
 // Export returns the state for a peer. It returns nil if there is none.
-func (f *Feed) Export(have Have) *Export {
+func (f *Feed) Export(have StateVersion) *PeerState {
 	// The date is read before the state: a state that is newer than its date
 	// only looks older than it is.
 	age := f.Age()
@@ -55,7 +55,7 @@
 	if s == nil {
 		return nil
 	}
-	e := &Export{Revision: s.Revision, AgeNanos: int64(age), Evacuated: f.upstream.Evacuated()}
+	e := &PeerState{Revision: s.Revision, AgeNanos: int64(age), Evacuated: f.upstream.Evacuated()}
 	f.exportUpstreams(e, s, have.Revision)
 	now := f.now()
 	for id, until := range f.upstream.Lapsed() {
@@ -72,7 +72,7 @@
 
 // exportUpstreams tells a peer what has changed after its revision, or all if that
 // isn't known any more.
-func (f *Feed) exportUpstreams(e *Export, s *Snapshot, revision int64) {
+func (f *Feed) exportUpstreams(e *PeerState, s *Snapshot, revision int64) {
 	ids, known := f.changes.since(revision)
 	if !known || revision == 0 {
 		e.Upstreams = s.View.All()
@@ -89,7 +89,7 @@
 }
 
 // Import takes in a peer's state that was asked for at a moment.
-func (f *Feed) Import(e *Export, asked boottime.Time) {
+func (f *Feed) Import(e *PeerState, asked boottime.Time) {
 	f.mu.Lock()
 	changed := false
 	if e.Config != nil {
@@ -118,7 +118,7 @@
 
 // importUpstreams takes in upstreams. It reports false for changes that don't join
 // what is known: one between them would be missing for good.
-func (f *Feed) importUpstreams(e *Export) bool {
+func (f *Feed) importUpstreams(e *PeerState) bool {
 	now := f.now()
 	if e.Since == 0 {
 		f.changes.reset(e.Revision)
@@ -149,9 +149,9 @@
 	return true
 }
 
-// Vouch takes a peer's word that a revision was the newest as of a moment. It
+// ConfirmRevision takes a peer's word that a revision was the newest as of a moment. It
 // reports whether the peer knows more than this router.
-func (f *Feed) Vouch(revision int64, at boottime.Time) (newer bool) {
+func (f *Feed) ConfirmRevision(revision int64, at boottime.Time) (newer bool) {
 	s := f.snapshot.Load()
 	if s == nil || revision > s.Revision {
 		return true
--- a/feed/read.go
+++ b/feed/read.go
@@ -73,7 +73,7 @@
 	}
 	f.upstream.ReplaceEvacuations(sent, evacuated, b.Revision)
 	for _, id := range f.upstream.Missing(listed) {
-		f.remove(Change{Gone: id, Revision: b.Revision})
+		f.remove(Change{DeletedUpstream: id, Revision: b.Revision})
 	}
 	// What went missing before the listing has no revision that tells of it.
 	f.changes.reset(b.Revision)
--- a/feed/source.go
+++ b/feed/source.go
@@ -38,8 +38,8 @@
 	Revision int64
 	Config   *routing.Config
 	Upstream *registry.Upstream
-	// Gone is the ID of an upstream whose entry was deleted.
-	Gone string
+	// DeletedUpstream is the ID of an upstream whose entry was deleted.
+	DeletedUpstream string
 	// Evacuation begins or ends the evacuation of a failure domain.
 	Evacuation *Evacuation
 }
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -180,7 +180,7 @@
 	cfg := fleet.DefaultConfig()
 	cfg.IP, cfg.Port, cfg.Domain, cfg.Weight = addr(i).Addr().String(), int(addr(i).Port()), "d", 1
 	cfg.Seeds, cfg.RandomSeed = []string{addr(0).Addr().String()}, uint64(i+1)
-	cfg.MaxLeaderStateAge = feed.DefaultConfig(revoke, revoke).StaleAfter
+	cfg.MaxLeaderStateAge = feed.DefaultConfig(revoke, revoke).MaxFollowerAge
 	c.shape(i, &cfg)
 	began := time.Now().Add(-c.up)
 	now := func() boottime.Time { return boottime.Time(time.Since(began)) }
@@ -285,7 +285,7 @@
 		for _, m := range all {
 			g.Eventually(func() int64 { return m.feed.Snapshot().ConfigVersion() }, 10*time.Second, 10*time.Millisecond).Should(Equal(int64(2)))
 		}
-		g.Consistently(all[1].feed.Authorized, revoke+revoke/4, 50*time.Millisecond).Should(BeTrue())
+		g.Consistently(all[1].feed.Fresh, revoke+revoke/4, 50*time.Millisecond).Should(BeTrue())
 	})
 }
 
@@ -312,7 +312,7 @@
 		most := int64(span/feed.DefaultConfig(revoke, revoke).WatchWait) + 1
 		g.Expect(s.calls.Load() - before).To(BeNumerically("<=", most))
 		for _, m := range all {
-			g.Expect(m.feed.Authorized()).To(BeTrue())
+			g.Expect(m.feed.Fresh()).To(BeTrue())
 		}
 	})
 }
--- a/fleet/fuzz_test.go
+++ b/fleet/fuzz_test.go
@@ -60,7 +60,7 @@
 	n := New(cfg, t, boottime.Now, zerolog.Nop())
 	published := feed.New(feed.DefaultConfig(0, 0), noSource{}, boottime.Now, zerolog.Nop(), func() bool { return false }, func() {})
 	n.Attach(published)
-	published.Import(&feed.Export{Revision: 1, Config: &routing.Config{Version: 1, Services: []routing.Service{{Name: "llm"}}},
+	published.Import(&feed.PeerState{Revision: 1, Config: &routing.Config{Version: 1, Services: []routing.Service{{Name: "llm"}}},
 		Upstreams: []registry.Upstream{{ID: "u", Service: "llm", Slots: 2, Revision: 1}}}, boottime.Now())
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		p := &packet{}
--- a/fleet/heartbeat.go
+++ b/fleet/heartbeat.go
@@ -69,7 +69,7 @@
 	if b.Echo == 0 || b.EchoOf != uint32(n.self) {
 		at = 0
 	}
-	if n.feed.Vouch(b.Revision, at) {
+	if n.feed.ConfirmRevision(b.Revision, at) {
 		n.pullFrom(m.addr)
 	}
 }
--- a/fleet/hubs_test.go
+++ b/fleet/hubs_test.go
@@ -64,7 +64,7 @@
 			}
 			g.Expect((sent-before[m])/span).To(BeNumerically("<", all/2), "datagrams a second")
 			g.Expect(d.Members).To(HaveLen(len(c.all) - 1))
-			g.Expect(m.feed.Authorized()).To(BeTrue())
+			g.Expect(m.feed.Fresh()).To(BeTrue())
 		}
 		g.Expect(hubs).To(BeNumerically(">=", 3))
 		g.Expect(hubs).To(BeNumerically("<=", 5))
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -32,7 +32,7 @@
 	now  boottime.Clock
 	log  zerolog.Logger
 	// limited bounds lines that come with requests.
-	limited *obs.Limited
+	limited *obs.LimitedLogger
 	feed    *feed.Feed
 
 	net    Transport
@@ -102,7 +102,7 @@
 func New(cfg Config, t Transport, now boottime.Clock, log zerolog.Logger) *Node {
 	n := &Node{
 		cfg: cfg, now: now, log: log, net: t, random: rand.New(rand.NewPCG(cfg.RandomSeed, 0)),
-		limited: obs.NewLimited(log, logLines),
+		limited: obs.NewLimitedLogger(log, logLines),
 		events:  make(chan any, eventQueue), over: make(chan struct{}),
 		members: map[uint64]*member{}, byIP: map[string]*member{}, groups: map[groupKey]*group{},
 		pending: map[uint64]*pending{}, held: map[uint64]*heldRequest{}, warm: map[uint64]dispatch.Incarnation{},
--- a/fleet/outage_test.go
+++ b/fleet/outage_test.go
@@ -42,7 +42,7 @@
 		returned := s.calls.Load()
 		for _, m := range c.all {
 			g.Eventually(func() int64 { return m.feed.Snapshot().ConfigVersion() }, 2*time.Second, 10*time.Millisecond).Should(Equal(int64(2)))
-			g.Eventually(m.feed.Authorized, 2*time.Second, 10*time.Millisecond).Should(BeTrue())
+			g.Eventually(m.feed.Fresh, 2*time.Second, 10*time.Millisecond).Should(BeTrue())
 		}
 		// Those whose next try falls into the first moments need not wait for their peers.
 		g.Expect(s.calls.Load() - returned).To(BeNumerically("<=", outageRouters/2+callsOfReaders))
--- a/fleet/pull.go
+++ b/fleet/pull.go
@@ -53,8 +53,8 @@
 	rpc := jsonrpc2.NewConn(ctx, stream, noRequests{})
 	defer func() { _ = rpc.Close() }()
 	asked := n.now()
-	var state feed.Export
-	params := stateParams(n.feed.Have())
+	var state feed.PeerState
+	params := stateParams(n.feed.StateVersion())
 	if err := rpc.Call(ctx, methodState, params, &state); err != nil {
 		return Error.Wrap(err)
 	}
@@ -100,7 +100,7 @@
 	if err := decodeParams(req, &params); err != nil {
 		return nil, err
 	}
-	state := n.feed.Export(feed.Have(params))
+	state := n.feed.Export(feed.StateVersion(params))
 	if state == nil {
 		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeInternalError, Message: "no state yet"}
 	}
--- a/fleet/reboot_test.go
+++ b/fleet/reboot_test.go
@@ -43,7 +43,7 @@
 		s.change(func() { s.away = true })
 		time.Sleep(revoke)
 		for _, m := range append(c.all[:1:1], c.all[routers:]...) {
-			g.Expect(m.feed.Authorized()).To(BeFalse())
+			g.Expect(m.feed.Fresh()).To(BeFalse())
 		}
 	})
 }
--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -13,7 +13,7 @@
 
 // answer judges an upstream's answer and passes it on. begun is called at the
 // first byte of the body.
-func (s *Server) answer(ctx context.Context, r *request, out *relay, a *upstream.Answer, begun func()) (result, dispatch.Outcome) {
+func (s *Server) answer(ctx context.Context, r *request, out *relay, a *upstream.Response, begun func()) (result, dispatch.Outcome) {
 	notice := s.parseUpstreamNotice(a)
 	r.record.upstreamLeaving, r.record.upstreamRetryAfter = notice.leaving, notice.retryAfter
 	s.handleNotice(r, notice)
@@ -38,7 +38,7 @@
 // plausible reports whether an answer can be passed on. A success without the
 // upstream's seal isn't its answer. A status that promises "not run" without
 // the upstream's word for it would be a promise that nobody made.
-func (s *Server) plausible(a *upstream.Answer) bool {
+func (s *Server) plausible(a *upstream.Response) bool {
 	switch a.Status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout:
 		return false
@@ -50,7 +50,7 @@
 }
 
 // rejected decides after an upstream that didn't run the request.
-func (s *Server) rejected(r *request, a *upstream.Answer) (result, dispatch.Outcome) {
+func (s *Server) rejected(r *request, a *upstream.Response) (result, dispatch.Outcome) {
 	r.record.cause = "upstream rejected with " + strconv.Itoa(a.Status)
 	// The connection is good; reading to the end lets it be used again.
 	_, _ = io.CopyN(io.Discard, a, maxWhole)
@@ -69,14 +69,14 @@
 const maxWhole = 64 << 10
 
 // whole passes on an answer that is no stream.
-func (s *Server) whole(ctx context.Context, r *request, out *relay, a *upstream.Answer, begun func()) (result, dispatch.Outcome) {
+func (s *Server) whole(ctx context.Context, r *request, out *relay, a *upstream.Response, begun func()) (result, dispatch.Outcome) {
 	body, err := io.ReadAll(io.LimitReader(a, maxWhole))
 	begun()
 	if err != nil {
 		return s.interrupted(ctx, r, err)
 	}
 	failed := a.Status >= http.StatusInternalServerError
-	if failed && r.route.Kind == routing.Safe && a.Whole() && s.mayRetry(r) {
+	if failed && r.route.Kind == routing.Safe && a.Complete() && s.mayRetry(r) {
 		r.mayHaveRun = true
 		r.record.cause = "upstream failed with " + strconv.Itoa(a.Status)
 		return result{refused: unknown(http.StatusBadGateway, "upstream_failed", "the upstream failed"), again: true}, dispatch.Failed
@@ -119,7 +119,7 @@
 
 // stream passes on events as they come. One that breaks off goes on at another
 // upstream where the route allows it.
-func (s *Server) stream(ctx context.Context, r *request, out *relay, a *upstream.Answer, begun func()) (result, dispatch.Outcome) {
+func (s *Server) stream(ctx context.Context, r *request, out *relay, a *upstream.Response, begun func()) (result, dispatch.Outcome) {
 	err := out.events(a, begun)
 	switch {
 	case err == nil:
--- a/gateway/deps.go
+++ b/gateway/deps.go
@@ -13,8 +13,8 @@
 type StateReader interface {
 	// Snapshot is nil until a configuration is known.
 	Snapshot() *feed.Snapshot
-	// Authorized reports whether the snapshot is fresh enough to act upon.
-	Authorized() bool
+	// Fresh reports whether the snapshot is fresh enough to act upon.
+	Fresh() bool
 	// Age is how long ago the snapshot was confirmed.
 	Age() time.Duration
 }
--- a/gateway/fakes_test.go
+++ b/gateway/fakes_test.go
@@ -31,7 +31,7 @@
 	s.snapshot = to
 }
 
-func (s *state) Authorized() bool   { return s.fresh.Load() }
+func (s *state) Fresh() bool        { return s.fresh.Load() }
 func (s *state) Age() time.Duration { return time.Duration(s.age.Load()) }
 
 // placer sends each request to the next upstream of a list.
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -96,7 +96,7 @@
 	metrics := obs.NewMetrics("test")
 	t.Cleanup(func() { _ = metrics.Close() })
 	budget := retry.Budget{Ratio: 0.2, Allowance: 50, Window: 10 * time.Second}
-	r.server = gateway.New(cfg, r.state, r.placer, upstream.NewPool(upstream.DefaultPoolConfig()), budget, obs.NewLimited(zerolog.New(&r.log), 10), metrics)
+	r.server = gateway.New(cfg, r.state, r.placer, upstream.NewPool(upstream.DefaultPoolConfig()), budget, obs.NewLimitedLogger(zerolog.New(&r.log), 10), metrics)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	r.addr = l.Addr().String()
--- a/gateway/listener.go
+++ b/gateway/listener.go
@@ -33,7 +33,7 @@
 	places chan struct{}
 	over   chan struct{}
 	once   sync.Once
-	log    *obs.Limited
+	log    *obs.LimitedLogger
 	// emptyAt is when the queue was last seen empty.
 	emptyAt time.Duration
 	// busy is the answer to those that can't be taken; refused is told their number.
@@ -74,7 +74,7 @@
 	looksEvery = longestQueued / 4
 )
 
-func newBoundedListener(l net.Listener, cfg *Config, log *obs.Limited, refused func(n int, took time.Duration)) (*boundedListener, error) {
+func newBoundedListener(l net.Listener, cfg *Config, log *obs.LimitedLogger, refused func(n int, took time.Duration)) (*boundedListener, error) {
 	queue, err := newListenQueue(l)
 	if err != nil {
 		return nil, err
--- a/gateway/listener_internal_test.go
+++ b/gateway/listener_internal_test.go
@@ -69,7 +69,7 @@
 		l := &boundedListener{
 			Listener: q, queue: q, queueConns: 700, places: make(chan struct{}, 1), over: make(chan struct{}),
 			clock: listenerClock{now: func() time.Duration { return q.now }, yield: func() {}, pause: q.pause},
-			log:   obs.NewLimited(zerolog.Nop(), 1), refused: func(int, time.Duration) {},
+			log:   obs.NewLimitedLogger(zerolog.Nop(), 1), refused: func(int, time.Duration) {},
 		}
 		for q.now < 5*time.Second {
 			_, err := l.Accept()
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -32,7 +32,7 @@
 }
 
 // head writes the status and headers of the first upstream that answers.
-func (l *relay) head(a *upstream.Answer) {
+func (l *relay) head(a *upstream.Response) {
 	if l.started {
 		return
 	}
@@ -42,19 +42,19 @@
 	for name, values := range a.Header {
 		h[name] = values
 	}
-	if a.Length >= 0 {
-		h.Set("Content-Length", strconv.FormatInt(a.Length, 10))
+	if a.BodyLength >= 0 {
+		h.Set("Content-Length", strconv.FormatInt(a.BodyLength, 10))
 	}
 	l.w.WriteHeader(a.Status)
 }
 
 // rest writes a body of which the beginning has been read.
-func (l *relay) rest(begin []byte, a *upstream.Answer) error {
+func (l *relay) rest(begin []byte, a *upstream.Response) error {
 	if _, err := l.w.Write(begin); err != nil {
 		l.callerGone = true
 		return err
 	}
-	if a.Whole() {
+	if a.Complete() {
 		return nil
 	}
 	buf := make([]byte, 16<<10)
@@ -79,7 +79,7 @@
 const eventBuffer = 2 << 10
 
 // events passes a stream on until its end. It returns nil if the end came.
-func (l *relay) events(a *upstream.Answer, begun func()) error {
+func (l *relay) events(a *upstream.Response, begun func()) error {
 	l.tail = l.tail[:0]
 	buf := make([]byte, eventBuffer)
 	first := true
@@ -104,7 +104,7 @@
 }
 
 // end writes what is left when the stream is over.
-func (l *relay) end(a *upstream.Answer) error {
+func (l *relay) end(a *upstream.Response) error {
 	l.head(a)
 	if len(l.tail) == 0 {
 		return nil
@@ -115,7 +115,7 @@
 // pass writes what has come. Of a stream that may go on elsewhere only whole
 // events are written: an upstream may stop in the middle of one, and the next
 // begins with a whole event.
-func (l *relay) pass(a *upstream.Answer, got []byte) error {
+func (l *relay) pass(a *upstream.Response, got []byte) error {
 	if !l.resumable {
 		l.head(a)
 		return l.write(got)
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -102,7 +102,7 @@
 // denied is a final refusal. A router that doesn't know whether its view is the
 // newest must not deny what a newer configuration may allow.
 func (s *Server) denied(status int, code, message string) *refusal {
-	if !s.state.Authorized() {
+	if !s.state.Fresh() {
 		return notRun("stale_view", "this router's view of the configuration is too old to decide", time.Second)
 	}
 	if s.tooOld() {
@@ -116,7 +116,7 @@
 	if !r.state.Table.RequiresKey() || r.route.Public {
 		return nil
 	}
-	if !s.state.Authorized() {
+	if !s.state.Fresh() {
 		return notRun("stale_view", "this router's view of the keys is too old to decide", time.Second)
 	}
 	keys := r.in.Header.Values(s.cfg.Headers.APIKey)
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -143,7 +143,7 @@
 }
 
 // call is the request as it goes to an upstream.
-func (s *Server) call(r *request, out *relay, u *registry.Upstream) *upstream.Call {
+func (s *Server) call(r *request, out *relay, u *registry.Upstream) *upstream.Request {
 	h := r.in.Header.Clone()
 	headers.RemoveHopByHop(h)
 	n := s.cfg.Headers
@@ -162,7 +162,7 @@
 	if out.lastID != "" {
 		h.Set("Last-Event-Id", out.lastID)
 	}
-	return &upstream.Call{
+	return &upstream.Request{
 		Address: u.Address, Started: u.Started, Method: r.in.Method, URI: r.in.RequestURI, Host: r.in.Host, Header: h, Body: r.body,
 		IDHeader: n.RequestID, ID: r.id, Repeatable: r.route.Kind == routing.Safe || r.route.Repeatable(),
 	}
--- a/gateway/send_check.go
+++ b/gateway/send_check.go
@@ -64,7 +64,7 @@
 	if r.team == nil {
 		return nil
 	}
-	if !s.state.Authorized() {
+	if !s.state.Fresh() {
 		return notRun("stale_view", "this router's view of the keys is too old to decide", time.Second)
 	}
 	if s.state.Snapshot().Table.Team(r.in.Header.Get(s.cfg.Headers.APIKey)) == nil {
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -27,7 +27,7 @@
 	state  StateReader
 	placer Placer
 	pool   *upstream.Pool
-	log    *obs.Limited
+	log    *obs.LimitedLogger
 	stats  *stats
 	start  time.Time
 
@@ -58,7 +58,7 @@
 var errStopping = errors.New("the router is stopping")
 
 // New returns a server.
-func New(cfg Config, state StateReader, placer Placer, pool *upstream.Pool, budget retry.Budget, log *obs.Limited, metrics *obs.Metrics) *Server {
+func New(cfg Config, state StateReader, placer Placer, pool *upstream.Pool, budget retry.Budget, log *obs.LimitedLogger, metrics *obs.Metrics) *Server {
 	base, giveUp := context.WithCancelCause(context.Background())
 	return &Server{
 		cfg: cfg, state: state, placer: placer, pool: pool, budget: budget,
--- a/gateway/upstream_notice.go
+++ b/gateway/upstream_notice.go
@@ -23,7 +23,7 @@
 const maxRetryAfter = 5 * time.Minute
 
 // parseUpstreamNotice parses the Leaving and Retry-After headers of an answer.
-func (s *Server) parseUpstreamNotice(a *upstream.Answer) upstreamNotice {
+func (s *Server) parseUpstreamNotice(a *upstream.Response) upstreamNotice {
 	n := upstreamNotice{leaving: a.Header.Get(s.cfg.Headers.Leaving) == leavingValue}
 	if a.Status == http.StatusServiceUnavailable {
 		n.retryAfter = parseRetryAfter(a.Header.Get("Retry-After"), time.Now())
--- a/membership/member.go
+++ b/membership/member.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Listed is one VM on the platform's list.
-type Listed struct {
+// ListedVM is one VM on the platform's list.
+type ListedVM struct {
 	Name          string `json:"name"`
 	FailureDomain string `json:"failureDomain"`
 	// Address is where the VM's router listens for its peers.
--- a/membership/view.go
+++ b/membership/view.go
@@ -22,7 +22,7 @@
 
 // SetList takes in the platform's list. VMs that it drops and that are silent
 // are forgotten; those still heard stay, since the list lags.
-func (v *View) SetList(list []Listed) {
+func (v *View) SetList(list []ListedVM) {
 	for _, m := range v.members {
 		m.listed = false
 	}
@@ -48,9 +48,9 @@
 	return m
 }
 
-// Heard notes a message from a VM. It returns true if the VM's incarnation is a
+// RecordMessage notes a message from a VM. It returns true if the VM's incarnation is a
 // new one: all that was promised by the earlier one is void.
-func (v *View) Heard(now time.Time, name string, incarnation uint64, leaving bool) bool {
+func (v *View) RecordMessage(now time.Time, name string, incarnation uint64, leaving bool) bool {
 	m := v.member(name)
 	changed := m.incarnation != incarnation
 	if changed {
@@ -111,10 +111,10 @@
 	return peers
 }
 
-// Visible returns how many of the listed VMs are heard, and how many are
+// CountListed returns how many of the listed VMs are heard, and how many are
 // listed, this one in both. They differ during a partition and, until the list
 // catches up, after a crash.
-func (v *View) Visible(now time.Time) (visible, listed int) {
+func (v *View) CountListed(now time.Time) (visible, listed int) {
 	visible, listed = 1, 1
 	for _, m := range v.members {
 		if !m.listed || m.leaving || m.said {
--- a/obs/async.go
+++ b/obs/async.go
@@ -6,10 +6,10 @@
 	"sync/atomic"
 )
 
-// Async hands lines to a writer from a goroutine of its own. A pipe that nobody
+// AsyncWriter hands lines to a writer from a goroutine of its own. A pipe that nobody
 // reads would else block the requests that write lines; here lines are dropped
 // and counted.
-type Async struct {
+type AsyncWriter struct {
 	to      io.Writer
 	mu      sync.Mutex
 	pending []byte
@@ -22,15 +22,15 @@
 // maxPending bounds the memory of lines that wait: some two hundred.
 const maxPending = 64 << 10
 
-// NewAsync returns a writer that passes lines on to w until Close.
-func NewAsync(w io.Writer) *Async {
-	a := &Async{to: w, wake: make(chan struct{}, 1), end: make(chan struct{}), done: make(chan struct{})}
+// NewAsyncWriter returns a writer that passes lines on to w until Close.
+func NewAsyncWriter(w io.Writer) *AsyncWriter {
+	a := &AsyncWriter{to: w, wake: make(chan struct{}, 1), end: make(chan struct{}), done: make(chan struct{})}
 	go a.run()
 	return a
 }
 
 // Write implements io.Writer. It never blocks and never fails.
-func (a *Async) Write(line []byte) (int, error) {
+func (a *AsyncWriter) Write(line []byte) (int, error) {
 	a.mu.Lock()
 	if len(a.pending)+len(line) > maxPending {
 		a.mu.Unlock()
@@ -47,9 +47,9 @@
 }
 
 // Dropped is the number of lines left out.
-func (a *Async) Dropped() int64 { return a.dropped.Load() }
+func (a *AsyncWriter) Dropped() int64 { return a.dropped.Load() }
 
-func (a *Async) run() {
+func (a *AsyncWriter) run() {
 	defer close(a.done)
 	var lines []byte
 	for ended := false; !ended; {
@@ -67,7 +67,7 @@
 }
 
 // Close writes what is pending and ends. Lines written later are lost.
-func (a *Async) Close() error {
+func (a *AsyncWriter) Close() error {
 	close(a.end)
 	<-a.done
 	return nil
--- a/obs/async_test.go
+++ b/obs/async_test.go
@@ -31,7 +31,7 @@
 func TestStuckPipeBlocksNobody(t *testing.T) {
 	g := NewWithT(t)
 	out := &stuck{release: make(chan struct{})}
-	a := obs.NewAsync(out)
+	a := obs.NewAsyncWriter(out)
 	line := bytes.Repeat([]byte("x"), 1000)
 	done := make(chan struct{})
 	go func() {
@@ -53,7 +53,7 @@
 func TestKindsHaveBudgetsOfTheirOwn(t *testing.T) {
 	g := NewWithT(t)
 	var out bytes.Buffer
-	l := obs.NewLimited(obs.NewLog(&out, "info", "r1"), 5)
+	l := obs.NewLimitedLogger(obs.NewLog(&out, "info", "r1"), 5)
 	for range 1000 {
 		l.Info("served", func(e *obs.Event) { e.Msg("request") })
 	}
--- a/obs/limited.go
+++ b/obs/limited.go
@@ -10,10 +10,10 @@
 // Event is a line of the log that is being written.
 type Event = zerolog.Event
 
-// Limited writes at most so many lines a second of each kind. Under load a line
+// LimitedLogger writes at most so many lines a second of each kind. Under load a line
 // a request would cost more processor time than it explains; kinds have budgets
 // of their own, so that lines of success don't displace those of failure.
-type Limited struct {
+type LimitedLogger struct {
 	log     zerolog.Logger
 	perKind int
 	mu      sync.Mutex
@@ -26,25 +26,25 @@
 	omitted int
 }
 
-// NewLimited returns a log with a budget of lines a second for each kind.
-func NewLimited(log zerolog.Logger, perKind int) *Limited {
-	return &Limited{log: log, perKind: perKind, kinds: map[string]*kindCount{}}
+// NewLimitedLogger returns a log with a budget of lines a second for each kind.
+func NewLimitedLogger(log zerolog.Logger, perKind int) *LimitedLogger {
+	return &LimitedLogger{log: log, perKind: perKind, kinds: map[string]*kindCount{}}
 }
 
 // Info writes a line of a kind within its budget.
-func (l *Limited) Info(kind string, write func(*Event)) {
+func (l *LimitedLogger) Info(kind string, write func(*Event)) {
 	l.line(kind, zerolog.InfoLevel, l.perKind, write)
 }
 
 // Warn writes a line of a kind that explains a failure. Its budget is four
 // times that of other lines.
-func (l *Limited) Warn(kind string, write func(*Event)) {
+func (l *LimitedLogger) Warn(kind string, write func(*Event)) {
 	l.line(kind, zerolog.WarnLevel, 4*l.perKind, write)
 }
 
 // line writes within the budget. The line after an omission tells how many of
 // its kind were left out.
-func (l *Limited) line(kind string, level zerolog.Level, budget int, write func(*Event)) {
+func (l *LimitedLogger) line(kind string, level zerolog.Level, budget int, write func(*Event)) {
 	second := time.Now().Unix()
 	l.mu.Lock()
 	k := l.kinds[kind]
--- a/peer/config.go
+++ b/peer/config.go
@@ -32,8 +32,8 @@
 	// ReadTimeout ends an incoming connection that carries nothing. Heartbeats
 	// come far more often.
 	ReadTimeout time.Duration
-	// Queue is how many notifications wait for one peer; more are dropped.
-	Queue int
+	// QueueSize is how many notifications wait for one peer; more are dropped.
+	QueueSize int
 }
 
 // DefaultConfig returns the settings for VMs of one region.
@@ -44,6 +44,6 @@
 		DialTimeout:  time.Second,
 		WriteTimeout: 2 * time.Second,
 		ReadTimeout:  10 * time.Second,
-		Queue:        256,
+		QueueSize:    256,
 	}
 }
--- a/peer/link.go
+++ b/peer/link.go
@@ -33,7 +33,7 @@
 	ctx, cancel := context.WithCancel(m.ctx)
 	l := &link{
 		mesh: m, name: name, address: address,
-		queue: make(chan notification, m.cfg.Queue),
+		queue: make(chan notification, m.cfg.QueueSize),
 		ctx:   ctx, cancel: cancel,
 	}
 	m.wg.Go(l.run)
--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -153,11 +153,11 @@
 	}
 }
 
-// Sent is the number of bytes sent to peers, compressed, without TLS.
-func (m *Mesh) Sent() int64 { return m.sent.Load() }
+// BytesSent is the number of bytes sent to peers, compressed, without TLS.
+func (m *Mesh) BytesSent() int64 { return m.sent.Load() }
 
-// SentBy is the number of messages to peers by method.
-func (m *Mesh) SentBy() map[string]int64 {
+// MessagesSent is the number of messages to peers by method.
+func (m *Mesh) MessagesSent() map[string]int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return maps.Clone(m.byMethod)
@@ -169,8 +169,8 @@
 	m.mu.Unlock()
 }
 
-// Dropped is the number of notifications dropped because a queue was full.
-func (m *Mesh) Dropped() int64 { return m.dropped.Load() }
+// NotificationsDropped is the number of notifications dropped because a queue was full.
+func (m *Mesh) NotificationsDropped() int64 { return m.dropped.Load() }
 
 // Close ends all connections and waits for their goroutines.
 func (m *Mesh) Close() {
--- a/router/control.go
+++ b/router/control.go
@@ -19,7 +19,7 @@
 	voter    *idempotency.Voter
 	answers  *idempotency.Answers
 	waiters  map[sched.RequestID]*waiter
-	list     []membership.Listed
+	list     []membership.ListedVM
 	// held is the latest verified bundle; view is the one in force.
 	held    *offered
 	view    *view
@@ -172,7 +172,7 @@
 }
 
 // setList takes in the platform's list of VMs.
-func (c *control) setList(now time.Time, list []membership.Listed) {
+func (c *control) setList(now time.Time, list []membership.ListedVM) {
 	var names []string
 	for _, l := range list {
 		names = append(names, l.Name)
--- a/router/dump.go
+++ b/router/dump.go
@@ -22,11 +22,11 @@
 	InForce       bundle.Mark      `json:"bundleInForce"`
 	Conflicts     []bundle.Mark    `json:"bundleConflicts,omitempty"`
 	// HeardMajority is set once most listed VMs have told which bundle they hold.
-	HeardMajority bool                `json:"bundleHeardMajority"`
-	Votes         int                 `json:"votes"`
-	Answers       int                 `json:"answersKept"`
-	VMs           []membership.Listed `json:"vms"`
-	Core          sched.Dump          `json:"core"`
+	HeardMajority bool                  `json:"bundleHeardMajority"`
+	Votes         int                   `json:"votes"`
+	Answers       int                   `json:"answersKept"`
+	VMs           []membership.ListedVM `json:"vms"`
+	Core          sched.Dump            `json:"core"`
 }
 
 // Dump returns the state now.
@@ -34,7 +34,7 @@
 	d := Dump{
 		Name: r.cfg.Name, FailureDomain: r.cfg.FailureDomain, Ready: r.Ready(),
 		Watching: r.watching.Load(), PlatformCalls: r.platform.Calls(),
-		PeerBytes: r.mesh.Sent(), PeerMessages: r.mesh.SentBy(), PeerDropped: r.mesh.Dropped(),
+		PeerBytes: r.mesh.BytesSent(), PeerMessages: r.mesh.MessagesSent(), PeerDropped: r.mesh.NotificationsDropped(),
 	}
 	r.inspect(func(c *control) {
 		d.Held, d.InForce, d.Conflicts = c.acceptor.Latest(), c.acceptor.InForce(), c.acceptor.Conflicts()
--- a/router/message.go
+++ b/router/message.go
@@ -51,7 +51,7 @@
 }
 
 // listed is the platform's list of VMs.
-type listed struct{ list []membership.Listed }
+type listed struct{ list []membership.ListedVM }
 
 // loaded is an upstream's load report.
 type loaded struct {
--- a/router/ready_test.go
+++ b/router/ready_test.go
@@ -64,7 +64,7 @@
 
 // listRouter publishes a list of VMs that names the router.
 func (f *fixture) listRouter(g *WithT) {
-	raw, err := json.Marshal([]membership.Listed{{Name: "vm1", FailureDomain: "a", Address: f.address}})
+	raw, err := json.Marshal([]membership.ListedVM{{Name: "vm1", FailureDomain: "a", Address: f.address}})
 	g.Expect(err).NotTo(HaveOccurred())
 	f.platform.SetVMs(raw)
 }
--- a/sched/fleet_test.go
+++ b/sched/fleet_test.go
@@ -94,9 +94,9 @@
 	cfg.QueuePerTeam = 100
 	f.nodes[i] = sched.NewNode(f.now, cfg)
 	f.up[i] = true
-	var list []membership.Listed
+	var list []membership.ListedVM
 	for n := range f.nodes {
-		list = append(list, membership.Listed{Name: name(n)})
+		list = append(list, membership.ListedVM{Name: name(n)})
 	}
 	f.nodes[i].SetList(f.now, list)
 	f.nodes[i].Configure(f.now, f.settings)
--- a/sched/home.go
+++ b/sched/home.go
@@ -140,7 +140,7 @@
 	if u.book == nil {
 		return
 	}
-	visible, listed := n.view.Visible(now)
+	visible, listed := n.view.CountListed(now)
 	u.book.SetLimit(u.limit.PartitionShare(visible, listed, u.foreign(now)))
 	for _, router := range u.book.Recall() {
 		n.tellRecall(u, router)
--- a/sched/node.go
+++ b/sched/node.go
@@ -147,7 +147,7 @@
 }
 
 // SetList takes in the platform's list of VMs.
-func (n *Node) SetList(now time.Time, list []membership.Listed) {
+func (n *Node) SetList(now time.Time, list []membership.ListedVM) {
 	n.view.SetList(list)
 	n.refresh(now)
 	n.flush(now)
@@ -202,7 +202,7 @@
 // openDelay is how long a new book stays closed. A router alone in its list has
 // nobody whose leases it must wait out.
 func (n *Node) openDelay() time.Duration {
-	if _, listed := n.view.Visible(n.tickedAt); listed == 1 {
+	if _, listed := n.view.CountListed(n.tickedAt); listed == 1 {
 		return 0
 	}
 	return n.cfg.LeaseTTL
--- a/sched/receive.go
+++ b/sched/receive.go
@@ -54,7 +54,7 @@
 }
 
 func (n *Node) noteSender(now time.Time, l *link, s Sync) {
-	if n.view.Heard(now, s.From, s.Incarnation, s.Leaving) {
+	if n.view.RecordMessage(now, s.From, s.Incarnation, s.Leaving) {
 		l.reset(s.Incarnation)
 		for _, p := range n.pools {
 			p.accounts.Merge(now, s.From, s.Incarnation, nil)
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -19,9 +19,9 @@
 type Config struct {
 	// DialTimeout bounds a new connection.
 	DialTimeout time.Duration
-	// Idle is the longest silence within an answer. A connection that something
+	// IdleTimeout is the longest silence within an answer. A connection that something
 	// between the two ends has forgotten stays open and silent for good.
-	Idle time.Duration
+	IdleTimeout time.Duration
 	// HeaderTimeout bounds the wait for the first byte of an answer.
 	HeaderTimeout time.Duration
 	// KeepAlive probes find a dead path below HTTP.
@@ -32,7 +32,7 @@
 func DefaultConfig() Config {
 	return Config{
 		DialTimeout:   time.Second,
-		Idle:          10 * time.Second,
+		IdleTimeout:   10 * time.Second,
 		HeaderTimeout: 5 * time.Minute,
 		KeepAlive:     net.KeepAliveConfig{Enable: true, Idle: 5 * time.Second, Interval: time.Second, Count: 5},
 	}
@@ -65,8 +65,8 @@
 	}
 }
 
-// Failure is a request that got no answer.
-type Failure struct {
+// RequestError is a request that got no answer.
+type RequestError struct {
 	// Sent is set if the request may have reached the upstream. Without it the
 	// request truly did not run.
 	Sent  bool
@@ -74,7 +74,7 @@
 }
 
 // Error implements error.
-func (f *Failure) Error() string {
+func (f *RequestError) Error() string {
 	if f.Sent {
 		return "upstream: lost after sending: " + f.Cause.Error()
 	}
@@ -82,7 +82,7 @@
 }
 
 // Unwrap returns the cause.
-func (f *Failure) Unwrap() error { return f.Cause }
+func (f *RequestError) Unwrap() error { return f.Cause }
 
 // Do sends a request and returns the answer's head; the body's reads end with an
 // error after Config.Idle of silence.
@@ -103,9 +103,9 @@
 	resp, err := transport.RoundTrip(req.WithContext(ctx))
 	if err != nil {
 		cancel(err)
-		return nil, &Failure{Sent: sent.Load(), Cause: err}
+		return nil, &RequestError{Sent: sent.Load(), Cause: err}
 	}
-	resp.Body = newIdleBody(resp.Body, c.cfg.Idle, cancel)
+	resp.Body = newIdleBody(resp.Body, c.cfg.IdleTimeout, cancel)
 	return resp, nil
 }
 
@@ -117,6 +117,6 @@
 
 // NotSent reports whether err says that the request can't have left.
 func NotSent(err error) bool {
-	var f *Failure
+	var f *RequestError
 	return errors.As(err, &f) && !f.Sent
 }
--- a/upstream/exchange.go
+++ b/upstream/exchange.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Call is a request to an upstream, as it goes on the wire.
-type Call struct {
+// Request is a request to an upstream, as it goes on the wire.
+type Request struct {
 	Address string
 	Method  string
 	// URI is the path and query as the caller sent them.
@@ -29,25 +29,25 @@
 	Repeatable bool
 }
 
-// Answer is an upstream's answer. Close must be called.
-type Answer struct {
+// Response is an upstream's answer. Close must be called.
+type Response struct {
 	Status int
 	Header http.Header
-	// Length of the body, -1 if it isn't known.
-	Length int64
-	body   io.ReadCloser
-	conn   *poolConn
-	pool   *Pool
-	resp   *http.Response
-	stop   func() bool
+	// BodyLength of the body, -1 if it isn't known.
+	BodyLength int64
+	body       io.ReadCloser
+	conn       *poolConn
+	pool       *Pool
+	resp       *http.Response
+	stop       func() bool
 	// written is closed once the whole request has been written.
 	written chan struct{}
 	clean   bool
 	closed  bool
 }
 
-// ErrForeign is an answer that belongs to another request.
-var ErrForeign = errors.New("upstream: the answer is to another request")
+// ErrMismatchedResponse is an answer that belongs to another request.
+var ErrMismatchedResponse = errors.New("upstream: the answer is to another request")
 
 // maxForeign is how many answers to other requests are passed over. Upstreams
 // may repeat one answer; more are a sign that the connection is out of step.
@@ -60,15 +60,15 @@
 // Do sends a call. An error is always a *Failure, which tells whether any of
 // the request can have left. When ctx ends, the connection is closed, which
 // cancels the request at the upstream.
-func (p *Pool) Do(ctx context.Context, call *Call) (*Answer, error) {
-	maxIdle := p.cfg.FreshFor
+func (p *Pool) Do(ctx context.Context, call *Request) (*Response, error) {
+	maxIdle := p.cfg.MaxIdleNonRepeatable
 	if call.Repeatable {
 		maxIdle = time.Hour
 	}
 	for {
 		c, err := p.get(ctx, call, maxIdle)
 		if err != nil {
-			return nil, &Failure{Cause: err}
+			return nil, &RequestError{Cause: err}
 		}
 		a, err := p.exchange(ctx, c, call)
 		if err == nil {
@@ -84,8 +84,8 @@
 	}
 }
 
-func (p *Pool) exchange(ctx context.Context, c *poolConn, call *Call) (*Answer, error) {
-	a := &Answer{conn: c, pool: p, written: make(chan struct{})}
+func (p *Pool) exchange(ctx context.Context, c *poolConn, call *Request) (*Response, error) {
+	a := &Response{conn: c, pool: p, written: make(chan struct{})}
 	a.stop = context.AfterFunc(ctx, func() { _ = c.Close() })
 	if err := a.write(c, call); err != nil {
 		a.stop()
@@ -94,15 +94,15 @@
 	resp, err := readAnswer(c, call)
 	if err != nil {
 		a.stop()
-		return nil, &Failure{Sent: true, Cause: err}
+		return nil, &RequestError{Sent: true, Cause: err}
 	}
 	a.resp = resp
-	a.Status, a.Header, a.Length, a.body = resp.StatusCode, resp.Header, resp.ContentLength, resp.Body
+	a.Status, a.Header, a.BodyLength, a.body = resp.StatusCode, resp.Header, resp.ContentLength, resp.Body
 	return a, nil
 }
 
 // write sends the head and the body.
-func (a *Answer) write(c *poolConn, call *Call) error {
+func (a *Response) write(c *poolConn, call *Request) error {
 	var head bytes.Buffer
 	head.Grow(1<<10 + min(len(call.Body), largeBody))
 	head.WriteString(call.Method + " " + call.URI + " HTTP/1.1\r\nHost: " + call.Host + "\r\n")
@@ -110,7 +110,7 @@
 		head.WriteString("Content-Length: " + strconv.Itoa(len(call.Body)) + "\r\n")
 	}
 	if err := call.Header.Write(&head); err != nil {
-		return &Failure{Cause: err}
+		return &RequestError{Cause: err}
 	}
 	head.WriteString("\r\n")
 	if len(call.Body) <= largeBody {
@@ -118,7 +118,7 @@
 	}
 	n, err := c.Write(head.Bytes())
 	if err != nil {
-		return &Failure{Sent: n > 0, Cause: err}
+		return &RequestError{Sent: n > 0, Cause: err}
 	}
 	if len(call.Body) <= largeBody {
 		close(a.written)
@@ -134,7 +134,7 @@
 }
 
 // readAnswer reads the head of the answer that belongs to the call.
-func readAnswer(c *poolConn, call *Call) (*http.Response, error) {
+func readAnswer(c *poolConn, call *Request) (*http.Response, error) {
 	req := &http.Request{Method: call.Method}
 	for range maxForeign + 1 {
 		resp, err := readFinal(c, req)
@@ -146,10 +146,10 @@
 			return resp, nil
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil || resp.Close {
-			return nil, ErrForeign
+			return nil, ErrMismatchedResponse
 		}
 	}
-	return nil, ErrForeign
+	return nil, ErrMismatchedResponse
 }
 
 // readFinal passes over interim answers (status 1xx).
@@ -166,7 +166,7 @@
 }
 
 // Read implements io.Reader on the body. io.EOF means that the whole body came.
-func (a *Answer) Read(b []byte) (int, error) {
+func (a *Response) Read(b []byte) (int, error) {
 	n, err := a.body.Read(b)
 	if err == io.EOF {
 		a.clean = true
@@ -174,16 +174,16 @@
 	return n, err
 }
 
-// Whole reports whether the body ended as it should.
-func (a *Answer) Whole() bool { return a.clean }
+// Complete reports whether the body ended as it should.
+func (a *Response) Complete() bool { return a.clean }
 
 // Buffered reports whether more of the body can be read without waiting.
-func (a *Answer) Buffered() bool { return a.conn.br.Buffered() > 0 }
+func (a *Response) Buffered() bool { return a.conn.br.Buffered() > 0 }
 
 // Close ends the use of the connection. It is kept for another request only if
 // the answer ended cleanly, nothing is left unread and the request was written
 // to its end; else the next answer would be read out of step.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	if a.closed {
 		return
 	}
@@ -195,7 +195,7 @@
 	a.pool.put(a.conn, a.resp)
 }
 
-func (a *Answer) wholeRequest() bool {
+func (a *Response) wholeRequest() bool {
 	select {
 	case <-a.written:
 		return true
--- a/upstream/idle.go
+++ b/upstream/idle.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// ErrSilent ends the body of an answer that stopped coming.
-var ErrSilent = errors.New("upstream: connection went silent")
+// ErrIdleTimeout ends the body of an answer that stopped coming.
+var ErrIdleTimeout = errors.New("upstream: connection went silent")
 
 // idleBody ends an answer that has been silent for too long. Only time spent
 // waiting for the upstream counts, so a slow caller cuts nothing.
@@ -20,7 +20,7 @@
 }
 
 func newIdleBody(body io.ReadCloser, idle time.Duration, cancel context.CancelCauseFunc) *idleBody {
-	timer := time.AfterFunc(idle, func() { cancel(ErrSilent) })
+	timer := time.AfterFunc(idle, func() { cancel(ErrIdleTimeout) })
 	timer.Stop()
 	return &idleBody{body: body, idle: idle, timer: timer, cancel: cancel}
 }
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -19,32 +19,32 @@
 	// DialTimeout bounds a new connection. An upstream without power doesn't
 	// answer at all; one that is only busy accepts within milliseconds.
 	DialTimeout time.Duration
-	// Idle is how long a connection waits for reuse if the upstream doesn't say
+	// IdleTimeout is how long a connection waits for reuse if the upstream doesn't say
 	// for how long it keeps it.
-	Idle time.Duration
-	// Margin is how much sooner than the upstream the pool closes an idle
+	IdleTimeout time.Duration
+	// KeepAliveMargin is how much sooner than the upstream the pool closes an idle
 	// connection, so that no request is sent into its end.
-	Margin time.Duration
-	// FreshFor is how recently a connection must have been used to carry a
+	KeepAliveMargin time.Duration
+	// MaxIdleNonRepeatable is how recently a connection must have been used to carry a
 	// request that must not be repeated. An upstream may drop an idle connection
 	// without notice; what is sent next is lost and nobody knows if it ran.
-	FreshFor time.Duration
-	// Unacked is how long sent bytes may go without acknowledgement before the
+	MaxIdleNonRepeatable time.Duration
+	// TCPUserTimeout is how long sent bytes may go without acknowledgement before the
 	// connection counts as broken. A path that has gone silent shows no other way.
-	Unacked time.Duration
-	// MaxIdle is how many connections to one upstream wait for reuse.
-	MaxIdle int
+	TCPUserTimeout time.Duration
+	// MaxIdlePerUpstream is how many connections to one upstream wait for reuse.
+	MaxIdlePerUpstream int
 }
 
 // DefaultPoolConfig returns settings for upstreams of the same region.
 func DefaultPoolConfig() PoolConfig {
 	return PoolConfig{
-		DialTimeout: 400 * time.Millisecond,
-		Idle:        3 * time.Second,
-		Margin:      700 * time.Millisecond,
-		FreshFor:    1500 * time.Millisecond,
-		Unacked:     1500 * time.Millisecond,
-		MaxIdle:     64,
+		DialTimeout:          400 * time.Millisecond,
+		IdleTimeout:          3 * time.Second,
+		KeepAliveMargin:      700 * time.Millisecond,
+		MaxIdleNonRepeatable: 1500 * time.Millisecond,
+		TCPUserTimeout:       1500 * time.Millisecond,
+		MaxIdlePerUpstream:   64,
 	}
 }
 
@@ -73,7 +73,7 @@
 func (p *Pool) control(_, _ string, c syscall.RawConn) error {
 	var set error
 	err := c.Control(func(fd uintptr) {
-		set = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(p.cfg.Unacked.Milliseconds()))
+		set = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(p.cfg.TCPUserTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
@@ -110,7 +110,7 @@
 // A connection to an earlier start of the upstream isn't used. After a loss of power
 // nothing has closed it; what is sent on it meets a reset, and nobody knows that it
 // didn't run.
-func (p *Pool) get(ctx context.Context, call *Call, maxIdle time.Duration) (*poolConn, error) {
+func (p *Pool) get(ctx context.Context, call *Request, maxIdle time.Duration) (*poolConn, error) {
 	addr := call.Address
 	for c := p.take(addr); c != nil; c = p.take(addr) {
 		now := time.Now()
@@ -154,7 +154,7 @@
 	c.expires = c.used.Add(idle)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[c.addr]) >= p.cfg.MaxIdle {
+	if len(p.idle[c.addr]) >= p.cfg.MaxIdlePerUpstream {
 		_ = c.Close()
 		return
 	}
@@ -169,10 +169,10 @@
 			continue
 		}
 		if seconds, err := strconv.Atoi(value); err == nil {
-			return time.Duration(seconds)*time.Second - p.cfg.Margin
+			return time.Duration(seconds)*time.Second - p.cfg.KeepAliveMargin
 		}
 	}
-	return p.cfg.Idle
+	return p.cfg.IdleTimeout
 }
 
 // quiet reports whether nothing has arrived on an idle connection. An upstream
@@ -199,8 +199,8 @@
 	return err == nil && quiet
 }
 
-// Sweep closes connections that have waited long enough.
-func (p *Pool) Sweep(now time.Time) {
+// CloseExpired closes connections that have waited long enough.
+func (p *Pool) CloseExpired(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for addr, list := range p.idle {
@@ -221,4 +221,4 @@
 }
 
 // Close ends idle connections.
-func (p *Pool) Close() { p.Sweep(time.Now().Add(time.Hour)) }
+func (p *Pool) Close() { p.CloseExpired(time.Now().Add(time.Hour)) }
--- a/upstream/pool_test.go
+++ b/upstream/pool_test.go
@@ -46,8 +46,8 @@
 	return s
 }
 
-func (s *scripted) call(id string, body string) *upstream.Call {
-	return &upstream.Call{
+func (s *scripted) call(id string, body string) *upstream.Request {
+	return &upstream.Request{
 		Address: s.listener.Addr().String(), Method: http.MethodPost, URI: "/p//a%2fb?x=1", Host: "h.example",
 		Header: http.Header{"Id": {id}}, Body: []byte(body), IDHeader: "Id", ID: id, Repeatable: true,
 	}
@@ -156,7 +156,7 @@
 	address, release, err := standin.RefusedAddress()
 	g.Expect(err).NotTo(HaveOccurred())
 	defer release()
-	_, err = newPool(t).Do(context.Background(), &upstream.Call{Address: address, Method: http.MethodGet, URI: "/", Host: "h"})
+	_, err = newPool(t).Do(context.Background(), &upstream.Request{Address: address, Method: http.MethodGet, URI: "/", Host: "h"})
 	g.Expect(upstream.NotSent(err)).To(BeTrue())
 }
 
@@ -172,7 +172,7 @@
 	defer a.Close()
 	_, err = io.ReadAll(a)
 	g.Expect(err).To(MatchError(io.ErrUnexpectedEOF))
-	g.Expect(a.Whole()).To(BeFalse())
+	g.Expect(a.Complete()).To(BeFalse())
 }
 
 // An answer without a length is whole if the connection is closed, and broken
@@ -199,7 +199,7 @@
 			close(got)
 			_, err = io.ReadAll(a)
 			g.Expect(err != nil).To(Equal(reset))
-			g.Expect(a.Whole()).To(Equal(!reset))
+			g.Expect(a.Complete()).To(Equal(!reset))
 		})
 	}
 }
@@ -244,7 +244,7 @@
 		}
 	})
 	cfg := upstream.DefaultPoolConfig()
-	cfg.FreshFor = 0
+	cfg.MaxIdleNonRepeatable = 0
 	p := upstream.NewPool(cfg)
 	t.Cleanup(p.Close)
 	for _, id := range []string{"1", "2"} {
@@ -327,8 +327,8 @@
 			t.Fatal("an answer to another request was passed on")
 		}
 		body, err := io.ReadAll(a)
-		if err == nil && a.Length >= 0 && int64(len(body)) != a.Length {
-			t.Fatalf("%d bytes of %d count as whole", len(body), a.Length)
+		if err == nil && a.BodyLength >= 0 && int64(len(body)) != a.BodyLength {
+			t.Fatalf("%d bytes of %d count as whole", len(body), a.BodyLength)
 		}
 	})
 }
