--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -179,7 +179,7 @@
 	cfg := fleet.DefaultConfig()
 	cfg.IP, cfg.Port, cfg.Domain, cfg.Weight = addr(i).Addr().String(), int(addr(i).Port()), "d", 1
 	cfg.Seeds, cfg.RandomSeed = []string{addr(0).Addr().String()}, uint64(i+1)
-	cfg.MaxLeaderStateAge = feed.DefaultConfig(revokeTimeout, revokeTimeout).StaleAfter
+	cfg.MaxLeaderStateAge = feed.DefaultConfig(revokeTimeout, revokeTimeout).MaxFollowerAge
 	c.configure(i, &cfg)
 	bootedAt := time.Now().Add(-c.uptime)
 	now := func() boottime.Time { return boottime.Time(time.Since(bootedAt)) }
@@ -284,7 +284,7 @@
 		for _, m := range all {
 			g.Eventually(func() int64 { return m.feed.Snapshot().ConfigVersion() }, 10*time.Second, 10*time.Millisecond).Should(Equal(int64(2)))
 		}
-		g.Consistently(all[1].feed.Authorized, revokeTimeout+revokeTimeout/4, 50*time.Millisecond).Should(BeTrue())
+		g.Consistently(all[1].feed.Fresh, revokeTimeout+revokeTimeout/4, 50*time.Millisecond).Should(BeTrue())
 	})
 }
 
@@ -311,7 +311,7 @@
 		maxCalls := int64(span/feed.DefaultConfig(revokeTimeout, revokeTimeout).WatchWait) + 1
 		g.Expect(s.calls.Load() - before).To(BeNumerically("<=", maxCalls))
 		for _, m := range all {
-			g.Expect(m.feed.Authorized()).To(BeTrue())
+			g.Expect(m.feed.Fresh()).To(BeTrue())
 		}
 	})
 }
--- a/fleet/heartbeat.go
+++ b/fleet/heartbeat.go
@@ -71,7 +71,7 @@
 	if hb.Echo == 0 || hb.EchoIncarnation != uint32(n.self) {
 		at = 0
 	}
-	if n.feed.Vouch(hb.Revision, at) {
+	if n.feed.ConfirmRevision(hb.Revision, at) {
 		n.pullFrom(m.addr)
 	}
 }
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -32,7 +32,7 @@
 	now  boottime.Clock
 	log  zerolog.Logger
 	// limited rate-limits log lines that are caused by requests.
-	limited *obs.Limited
+	limited *obs.LimitedLogger
 	feed    *feed.Feed
 
 	net    Transport
@@ -104,7 +104,7 @@
 func New(cfg Config, t Transport, now boottime.Clock, log zerolog.Logger) *Node {
 	n := &Node{
 		cfg: cfg, now: now, log: log, net: t, random: rand.New(rand.NewPCG(cfg.RandomSeed, 0)),
-		limited: obs.NewLimited(log, logLinesPerSecond),
+		limited: obs.NewLimitedLogger(log, logLinesPerSecond),
 		events:  make(chan any, eventQueueSize), done: make(chan struct{}),
 		members: map[uint64]*member{}, byIP: map[string]*member{}, groups: map[groupKey]*group{},
 		pending: map[uint64]*pending{}, inFlight: map[uint64]*inFlightRequest{}, sessionUpstreams: map[uint64]dispatch.Incarnation{},
--- a/fleet/outage_test.go
+++ b/fleet/outage_test.go
@@ -42,7 +42,7 @@
 		beforeReturn := s.calls.Load()
 		for _, m := range c.all {
 			g.Eventually(func() int64 { return m.feed.Snapshot().ConfigVersion() }, 2*time.Second, 10*time.Millisecond).Should(Equal(int64(2)))
-			g.Eventually(m.feed.Authorized, 2*time.Second, 10*time.Millisecond).Should(BeTrue())
+			g.Eventually(m.feed.Fresh, 2*time.Second, 10*time.Millisecond).Should(BeTrue())
 		}
 		// Routers whose next retry is due at once may call before they receive the state.
 		g.Expect(s.calls.Load() - beforeReturn).To(BeNumerically("<=", outageRouters/2+maxReaderCalls))
--- a/fleet/reboot_test.go
+++ b/fleet/reboot_test.go
@@ -42,7 +42,7 @@
 		s.change(func() { s.unavailable = true })
 		time.Sleep(revokeTimeout)
 		for _, m := range append(c.all[:1:1], c.all[routers:]...) {
-			g.Expect(m.feed.Authorized()).To(BeFalse())
+			g.Expect(m.feed.Fresh()).To(BeFalse())
 		}
 	})
 }
--- a/gateway/deps.go
+++ b/gateway/deps.go
@@ -13,8 +13,8 @@
 type StateReader interface {
 	// Snapshot returns nil until a configuration has been loaded.
 	Snapshot() *feed.Snapshot
-	// Authorized reports whether the snapshot is fresh enough to act upon.
-	Authorized() bool
+	// Fresh reports whether the snapshot is fresh enough to act upon.
+	Fresh() bool
 	// Age returns the time since the snapshot was last confirmed.
 	Age() time.Duration
 }
--- a/gateway/fakes_test.go
+++ b/gateway/fakes_test.go
@@ -31,7 +31,7 @@
 	s.snapshot = to
 }
 
-func (s *fakeState) Authorized() bool   { return s.fresh.Load() }
+func (s *fakeState) Fresh() bool        { return s.fresh.Load() }
 func (s *fakeState) Age() time.Duration { return time.Duration(s.age.Load()) }
 
 // fakePlacer places each request on the first upstream that it doesn't exclude.
--- a/gateway/listener.go
+++ b/gateway/listener.go
@@ -34,7 +34,7 @@
 	slots     chan struct{}
 	done      chan struct{}
 	closeOnce sync.Once
-	log       *obs.Limited
+	log       *obs.LimitedLogger
 	// lastEmpty is when the queue was last observed to be empty.
 	lastEmpty time.Duration
 	// busyResponse is sent to refused connections; onRefused is called with their number.
@@ -75,7 +75,7 @@
 	queueCheckInterval = maxQueueTime / 4
 )
 
-func newBoundedListener(l net.Listener, cfg *Config, log *obs.Limited, onRefused func(n int, took time.Duration)) (*boundedListener, error) {
+func newBoundedListener(l net.Listener, cfg *Config, log *obs.LimitedLogger, onRefused func(n int, took time.Duration)) (*boundedListener, error) {
 	queue, err := newListenQueue(l)
 	if err != nil {
 		return nil, err
--- a/gateway/listener_internal_test.go
+++ b/gateway/listener_internal_test.go
@@ -69,7 +69,7 @@
 		l := &boundedListener{
 			Listener: q, queue: q, backlog: 700, slots: make(chan struct{}, 1), done: make(chan struct{}),
 			clock: listenerClock{now: func() time.Duration { return q.now }, yield: func() {}, sleep: q.sleep},
-			log:   obs.NewLimited(zerolog.Nop(), 1), onRefused: func(int, time.Duration) {},
+			log:   obs.NewLimitedLogger(zerolog.Nop(), 1), onRefused: func(int, time.Duration) {},
 		}
 		for q.now < 5*time.Second {
 			_, err := l.Accept()
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -33,7 +33,7 @@
 
 // writeHeader writes the status and headers of the first upstream that responds. Later calls
 // have no effect.
-func (l *relay) writeHeader(a *upstream.Answer) {
+func (l *relay) writeHeader(a *upstream.Response) {
 	if l.started {
 		return
 	}
@@ -43,19 +43,19 @@
 	for name, values := range a.Header {
 		h[name] = values
 	}
-	if a.Length >= 0 {
-		h.Set("Content-Length", strconv.FormatInt(a.Length, 10))
+	if a.BodyLength >= 0 {
+		h.Set("Content-Length", strconv.FormatInt(a.BodyLength, 10))
 	}
 	l.w.WriteHeader(a.Status)
 }
 
 // writeBody writes a body whose first bytes, prefix, have already been read.
-func (l *relay) writeBody(prefix []byte, a *upstream.Answer) error {
+func (l *relay) writeBody(prefix []byte, a *upstream.Response) error {
 	if _, err := l.w.Write(prefix); err != nil {
 		l.callerDisconnected = true
 		return err
 	}
-	if a.Whole() {
+	if a.Complete() {
 		return nil
 	}
 	buf := make([]byte, 16<<10)
@@ -81,7 +81,7 @@
 
 // relayEvents forwards a stream. It returns nil if the stream has ended normally.
 // onFirstByte is called when the first bytes of the body arrive.
-func (l *relay) relayEvents(a *upstream.Answer, onFirstByte func()) error {
+func (l *relay) relayEvents(a *upstream.Response, onFirstByte func()) error {
 	l.partial = l.partial[:0]
 	buf := make([]byte, eventBufferBytes)
 	first := true
@@ -106,7 +106,7 @@
 }
 
 // finish writes the remaining bytes after the end of the stream.
-func (l *relay) finish(a *upstream.Answer) error {
+func (l *relay) finish(a *upstream.Response) error {
 	l.writeHeader(a)
 	if len(l.partial) == 0 {
 		return nil
@@ -116,7 +116,7 @@
 
 // forward writes received data. For a resumable stream it writes only complete events: an
 // upstream may stop in the middle of an event, and the next one starts with a complete event.
-func (l *relay) forward(a *upstream.Answer, data []byte) error {
+func (l *relay) forward(a *upstream.Response, data []byte) error {
 	if !l.resumable {
 		l.writeHeader(a)
 		return l.write(data)
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -104,7 +104,7 @@
 // deny returns a permanent refusal. If this router's view may be outdated, it returns a
 // retryable one instead, since a newer configuration may allow the request.
 func (s *Server) deny(status int, code, message string) *refusal {
-	if !s.state.Authorized() {
+	if !s.state.Fresh() {
 		return notRun("stale_view", "this router's view of the configuration is too old to decide", time.Second)
 	}
 	if s.viewTooOld() {
@@ -118,7 +118,7 @@
 	if !r.state.Table.RequiresKey() || r.route.Public {
 		return nil
 	}
-	if !s.state.Authorized() {
+	if !s.state.Fresh() {
 		return notRun("stale_view", "this router's view of the keys is too old to decide", time.Second)
 	}
 	keys := r.in.Header.Values(s.cfg.Headers.APIKey)
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -144,7 +144,7 @@
 
 // newCall returns the request to send to an upstream, without the caller's API key and the
 // headers that callers must not set.
-func (s *Server) newCall(r *request, out *relay, u *registry.Upstream) *upstream.Call {
+func (s *Server) newCall(r *request, out *relay, u *registry.Upstream) *upstream.Request {
 	h := r.in.Header.Clone()
 	headers.RemoveHopByHop(h)
 	n := s.cfg.Headers
@@ -163,7 +163,7 @@
 	if out.lastID != "" {
 		h.Set("Last-Event-Id", out.lastID)
 	}
-	return &upstream.Call{
+	return &upstream.Request{
 		Address: u.Address, Started: u.Started, Method: r.in.Method, URI: r.in.RequestURI, Host: r.in.Host, Header: h, Body: r.body,
 		IDHeader: n.RequestID, ID: r.id, Repeatable: r.route.Kind == routing.Safe || r.route.Repeatable(),
 	}
--- a/sched/home.go
+++ b/sched/home.go
@@ -144,7 +144,7 @@
 	if u.table == nil {
 		return
 	}
-	visible, listed := n.view.Visible(now)
+	visible, listed := n.view.CountListed(now)
 	u.table.SetLimit(u.limit.PartitionShare(visible, listed, u.externalLoad(now)))
 	for _, router := range u.table.Recall() {
 		n.sendRecall(u, router)
--- a/sched/node.go
+++ b/sched/node.go
@@ -149,7 +149,7 @@
 }
 
 // SetList applies the platform's list of VMs.
-func (n *Node) SetList(now time.Time, list []membership.Listed) {
+func (n *Node) SetList(now time.Time, list []membership.ListedVM) {
 	n.view.SetList(list)
 	n.refreshLive(now)
 	n.flush(now)
@@ -205,7 +205,7 @@
 // gracePeriod is the grace period of a new lease table. It is zero if this
 // router is the only listed one, since no other router can hold a lease.
 func (n *Node) gracePeriod() time.Duration {
-	if _, listed := n.view.Visible(n.lastTickAt); listed == 1 {
+	if _, listed := n.view.CountListed(n.lastTickAt); listed == 1 {
 		return 0
 	}
 	return n.cfg.LeaseTTL
