--- a/certs/certs.go
+++ b/certs/certs.go
@@ -71,9 +71,9 @@
 	return r.cert
 }
 
-// Server returns the TLS settings of a listener. caFile, if given, makes callers
+// ServerConfig returns the TLS settings of a listener. caFile, if given, makes callers
 // show a certificate of that authority.
-func Server(certFile, keyFile, caFile string) (*tls.Config, error) {
+func ServerConfig(certFile, keyFile, caFile string) (*tls.Config, error) {
 	r, err := NewReloader(certFile, keyFile)
 	if err != nil {
 		return nil, err
@@ -90,9 +90,9 @@
 	return cfg, err
 }
 
-// Client returns the TLS settings of a connection to a listener with a
+// ClientConfig returns the TLS settings of a connection to a listener with a
 // certificate of the authority in caFile.
-func Client(certFile, keyFile, caFile string) (*tls.Config, error) {
+func ClientConfig(certFile, keyFile, caFile string) (*tls.Config, error) {
 	r, err := NewReloader(certFile, keyFile)
 	if err != nil {
 		return nil, err
--- a/daemon/collect.go
+++ b/daemon/collect.go
@@ -17,8 +17,8 @@
 func (d *Fleet) paceCollector(ctx context.Context) {
 	ticker := time.NewTicker(paceEvery)
 	defer ticker.Stop()
-	var pace gcpace.Pace
-	percent := gcpace.Calm
+	var pace gcpace.Pacer
+	percent := gcpace.MinPercent
 	debug.SetGCPercent(percent)
 	last, used := time.Now(), processorTime()
 	for {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -74,7 +74,7 @@
 	if err != nil || l.CertFile == "" {
 		return plain, Error.Wrap(err)
 	}
-	cfg, err := certs.Server(l.CertFile, l.KeyFile, l.CAFile)
+	cfg, err := certs.ServerConfig(l.CertFile, l.KeyFile, l.CAFile)
 	if err != nil {
 		return nil, err
 	}
@@ -85,11 +85,11 @@
 	if l.CertFile == "" {
 		return router.PeerTLS{}, nil
 	}
-	server, err := certs.Server(l.CertFile, l.KeyFile, l.CAFile)
+	server, err := certs.ServerConfig(l.CertFile, l.KeyFile, l.CAFile)
 	if err != nil {
 		return router.PeerTLS{}, err
 	}
-	client, err := certs.Client(l.CertFile, l.KeyFile, l.CAFile)
+	client, err := certs.ClientConfig(l.CertFile, l.KeyFile, l.CAFile)
 	return router.PeerTLS{Server: server, Client: client}, err
 }
 
--- a/daemon/fleet.go
+++ b/daemon/fleet.go
@@ -50,10 +50,10 @@
 	}
 	nodeCfg := nodeConfig(s)
 	nodeCfg.CachedParts = func(ctx context.Context, address string) (fleet.CacheReport, error) {
-		return platform.CachedParts(ctx, d.pool, address)
+		return platform.FetchCachedParts(ctx, d.pool, address)
 	}
 	nodeCfg.WarmUpLeft = func(ctx context.Context, u *registry.Upstream, healthPath string) (time.Duration, error) {
-		return platform.WarmUpLeft(ctx, d.pool, u, healthPath)
+		return platform.FetchWarmUpLeft(ctx, d.pool, u, healthPath)
 	}
 	transport, err := fleet.Listen(s.Peers.IP, s.Peers.Port)
 	if err != nil {
@@ -62,14 +62,14 @@
 	node := fleet.New(nodeCfg, transport, boottime.Now, log)
 	d.node = node
 	source := platform.NewSource(s.Platform, platformClient(), log)
-	d.feed = feed.New(feed.DefaultConfig(s.Bounds.Revoke(), s.Bounds.Apply()), source, boottime.Now, log, node.ReadsPlatform, node.NotifyStateChange)
+	d.feed = feed.New(feed.DefaultConfig(s.Bounds.MaxRevocationDelay(), s.Bounds.MaxApplyDelay()), source, boottime.Now, log, node.ReadsPlatform, node.NotifyStateChange)
 	node.Attach(d.feed)
 	cfg := gateway.DefaultConfig()
-	cfg.Headers = platform.Names()
+	cfg.Headers = platform.HTTPHeaders()
 	cfg.Regions = s.Regions
 	cfg.Fit(int64(s.MemoryMB)<<20, s.Files)
-	cfg.GracePeriod = s.Bounds.Grace()
-	cfg.MaxViewAge = s.Bounds.Apply() * 4 / 5
+	cfg.GracePeriod = s.Bounds.TerminationGracePeriod()
+	cfg.MaxViewAge = s.Bounds.MaxApplyDelay() * 4 / 5
 	cfg.ShutdownDelay = min(cfg.ShutdownDelay, cfg.GracePeriod/2)
 	cfg.ForwardPeriod = min(cfg.ForwardPeriod, cfg.GracePeriod/3)
 	budget := retry.Budget{Ratio: s.Bounds.RetryRatio, Allowance: s.Bounds.RetryAllowance, Window: s.Bounds.RetryWindow()}
@@ -82,7 +82,7 @@
 	cfg.IP, cfg.Port, cfg.Domain, cfg.Weight = s.Peers.IP, s.Peers.Port, s.FailureDomain, s.Processor
 	cfg.Seeds = seedIPs(s.Peers.Seeds)
 	// A view that its own router would renew is too old to pass on.
-	cfg.MaxLeaderStateAge = feed.DefaultConfig(s.Bounds.Revoke(), s.Bounds.Apply()).StaleAfter
+	cfg.MaxLeaderStateAge = feed.DefaultConfig(s.Bounds.MaxRevocationDelay(), s.Bounds.MaxApplyDelay()).StaleAfter
 	// A view passes two routers on its way and must arrive well before that age.
 	cfg.StatePollInterval = cfg.MaxLeaderStateAge / 6
 	cfg.Regions, cfg.WarmUp = s.Regions, s.Bounds.WarmUp()
@@ -245,7 +245,7 @@
 
 // Drain ends the process without cutting answers, within the grace.
 func (d *Fleet) Drain() {
-	grace := d.settings.Bounds.Grace() - stopMargin
+	grace := d.settings.Bounds.TerminationGracePeriod() - stopMargin
 	ctx, cancel := context.WithTimeout(context.Background(), grace)
 	defer cancel()
 	d.log.Info().Str("event", "stop").Dur("grace", grace).Msg("stopping")
--- a/gcpace/gcpace.go
+++ b/gcpace/gcpace.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// Calm is the percentage by which the heap may grow while the processor has time.
-	Calm = 60
-	// Busy is that while it is short: a fifth of the collections.
-	Busy = 400
+	// MinPercent is the percentage by which the heap may grow while the processor has time.
+	MinPercent = 60
+	// MaxPercent is that while it is short: a fifth of the collections.
+	MaxPercent = 400
 	// calmUse and busyUse are parts of the processor's share, as the process itself
 	// sees what it used. A router that keeps up used 0.05 to 0.15 of 0.19 cores; one
 	// with 2,000 refusals a second used 0.6 to 0.7, beside what the kernel took.
@@ -25,14 +25,14 @@
 	hold = 2 * time.Second
 )
 
-// Pace follows the use of a processor. The zero value has seen none.
-type Pace struct {
+// Pacer follows the use of a processor. The zero value has seen none.
+type Pacer struct {
 	use float64
 }
 
 // Observe takes in that the process used a part of its processor's share over a span.
 // What it uses more counts at once.
-func (p *Pace) Observe(used, span time.Duration, share float64) {
+func (p *Pacer) Observe(used, span time.Duration, share float64) {
 	if span <= 0 || share <= 0 {
 		return
 	}
@@ -42,7 +42,7 @@
 }
 
 // Percent is by how much the heap may grow until the next collection.
-func (p *Pace) Percent() int {
+func (p *Pacer) Percent() int {
 	short := (p.use - calmUse) / (busyUse - calmUse)
-	return Calm + int((Busy-Calm)*min(max(short, 0), 1))
+	return MinPercent + int((MaxPercent-MinPercent)*min(max(short, 0), 1))
 }
--- a/gcpace/gcpace_test.go
+++ b/gcpace/gcpace_test.go
@@ -17,31 +17,31 @@
 // spends memory while it is flooded, and gives it back some seconds later.
 func TestMemoryIsSpentWhileTheProcessorIsShort(t *testing.T) {
 	g := NewWithT(t)
-	var p gcpace.Pace
+	var p gcpace.Pacer
 	observe := func(use float64, times int) {
 		for range times {
 			p.Observe(time.Duration(use*share*float64(time.Second)), time.Second, share)
 		}
 	}
 	observe(0.1, 60)
-	g.Expect(p.Percent()).To(Equal(gcpace.Calm))
+	g.Expect(p.Percent()).To(Equal(gcpace.MinPercent))
 	observe(0.65, 2)
-	g.Expect(p.Percent()).To(Equal(gcpace.Busy))
+	g.Expect(p.Percent()).To(Equal(gcpace.MaxPercent))
 	observe(0.1, 1)
-	g.Expect(p.Percent()).To(BeNumerically(">", gcpace.Calm), "floods come in waves")
+	g.Expect(p.Percent()).To(BeNumerically(">", gcpace.MinPercent), "floods come in waves")
 	observe(0.1, 5)
-	g.Expect(p.Percent()).To(Equal(gcpace.Calm))
+	g.Expect(p.Percent()).To(Equal(gcpace.MinPercent))
 }
 
 // Whatever is observed, the collector runs, and as often as memory allows at most.
 func TestPercentStaysWithinItsBounds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		var p gcpace.Pace
+		var p gcpace.Pacer
 		for range rapid.IntRange(0, 20).Draw(rt, "times") {
 			used := rapid.Int64Range(-int64(time.Second), int64(time.Hour)).Draw(rt, "used")
 			span := rapid.Int64Range(-1, int64(time.Minute)).Draw(rt, "span")
 			p.Observe(time.Duration(used), time.Duration(span), rapid.Float64Range(-1, 8).Draw(rt, "share"))
-			if n := p.Percent(); n < gcpace.Calm || n > gcpace.Busy {
+			if n := p.Percent(); n < gcpace.MinPercent || n > gcpace.MaxPercent {
 				rt.Fatal(n)
 			}
 		}
--- a/settings/fleet.go
+++ b/settings/fleet.go
@@ -79,11 +79,13 @@
 	EvacuateMs float64 `json:"evacuateMs"`
 }
 
-// Revoke is how long a key may be served after it was taken away.
-func (b Bounds) Revoke() time.Duration { return time.Duration(b.RevokeMs * float64(time.Millisecond)) }
+// MaxRevocationDelay is how long a key may be served after it was taken away.
+func (b Bounds) MaxRevocationDelay() time.Duration {
+	return time.Duration(b.RevokeMs * float64(time.Millisecond))
+}
 
-// Apply is how soon what is published must be acted upon.
-func (b Bounds) Apply() time.Duration {
+// MaxApplyDelay is how soon what is published must be acted upon.
+func (b Bounds) MaxApplyDelay() time.Duration {
 	return time.Duration(min(b.ApplyMs, b.LeaveMs, b.EvacuateMs) * float64(time.Millisecond))
 }
 
@@ -92,8 +94,8 @@
 	return warmup.Policy{Overage: b.WarmUpOverage, Slack: b.WarmUpSlack}
 }
 
-// Grace is the time from SIGTERM to SIGKILL.
-func (b Bounds) Grace() time.Duration { return seconds(b.GraceS) }
+// TerminationGracePeriod is the time from SIGTERM to SIGKILL.
+func (b Bounds) TerminationGracePeriod() time.Duration { return seconds(b.GraceS) }
 
 // RetryWindow is the span of the retry budget.
 func (b Bounds) RetryWindow() time.Duration { return seconds(b.RetryWindowS) }
--- a/settings/fleet_test.go
+++ b/settings/fleet_test.go
@@ -20,7 +20,7 @@
 	g := NewWithT(t)
 	s, findings := settings.ParseFleet("f.json", []byte(goodFleet))
 	g.Expect(findings.Err()).NotTo(HaveOccurred())
-	g.Expect(s.Bounds.Apply().Milliseconds()).To(Equal(int64(2000)))
+	g.Expect(s.Bounds.MaxApplyDelay().Milliseconds()).To(Equal(int64(2000)))
 	g.Expect(s.Peers.Seeds).To(Equal([]string{"10.0.0.2:3"}))
 }
 
--- a/soak/caller.go
+++ b/soak/caller.go
@@ -150,7 +150,7 @@
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	n := platform.Names()
+	n := platform.HTTPHeaders()
 	out.Header.Set(n.RequestID, req.ID)
 	out.Header.Set(n.APIKey, req.Key)
 	out.Header.Set(n.Deadline, fmt.Sprint(req.Kind.timeout().Milliseconds()))
@@ -170,7 +170,7 @@
 	req.Status = resp.StatusCode
 	body, err := io.ReadAll(resp.Body)
 	req.Whole = err == nil
-	req.Notice = resp.Header.Get(platform.Names().Leaving) != ""
+	req.Notice = resp.Header.Get(platform.HTTPHeaders().Leaving) != ""
 	req.Quarantined = strings.Contains(string(body), `"code":"quarantined"`)
 	if resp.StatusCode/100 == 2 {
 		req.Wrong = judge(req, resp.Header, string(body))
@@ -187,7 +187,7 @@
 // judge says what is wrong with a success: it must be an upstream's, this
 // request's, and all of it, unless it shows that it was cut.
 func judge(req *Request, h http.Header, body string) string {
-	n := platform.Names()
+	n := platform.HTTPHeaders()
 	switch {
 	case h.Get(n.Seal) == "":
 		return "a success without the upstream's seal"
--- a/soak/check.go
+++ b/soak/check.go
@@ -100,7 +100,7 @@
 // happened to the router.
 func (c *checker) revoked(req Request) {
 	for _, gone := range c.h.KeysGone {
-		if req.Key == gone.Name && req.Sent > gone.At+c.b.Revoke() && len(c.runs[req.ID]) > 0 {
+		if req.Key == gone.Name && req.Sent > gone.At+c.b.MaxRevocationDelay() && len(c.runs[req.ID]) > 0 {
 			c.add("keys end in time", req.Sent, "%s ran %v after its key %s was taken away", req.ID, req.Sent-gone.At, req.Key)
 		}
 	}
--- a/soak/router.go
+++ b/soak/router.go
@@ -186,7 +186,7 @@
 	r.ordered, r.rest = true, rest
 	r.signal(syscall.SIGTERM)
 	r.mu.Unlock()
-	time.Sleep(r.cfg.Bounds.Grace())
+	time.Sleep(r.cfg.Bounds.TerminationGracePeriod())
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.cmd != cmd || !r.running {
--- a/soak/upstreams.go
+++ b/soak/upstreams.go
@@ -52,7 +52,7 @@
 // runnerOf starts the next incarnation.
 func (p *place) runnerOf(service string) (*standin.Runner, error) {
 	p.started++
-	id, n := p.id(), platform.Names()
+	id, n := p.id(), platform.HTTPHeaders()
 	names := standin.RunnerNames{RequestID: n.RequestID, Instance: n.Upstream, Seal: n.Seal, NotRun: n.NotRun, Leaving: n.Leaving}
 	r, err := standin.NewRunner(id, names, standin.RunnerOptions{
 		Work: work, FaultEvery: greyEvery,
