--- a/admin/server.go
+++ b/admin/server.go
@@ -68,7 +68,7 @@
 func (s *Server) status(c echo.Context) error {
 	d := s.router.Dump()
 	homes := 0
-	for _, p := range d.Core.Pools {
+	for _, p := range d.Scheduler.Pools {
 		for _, u := range p.Upstreams {
 			if u.IsHome {
 				homes++
@@ -76,8 +76,8 @@
 		}
 	}
 	return c.JSON(http.StatusOK, Status{
-		Name: d.Name, FailureDomain: d.FailureDomain, Ready: d.Ready, Leaving: d.Core.Leaving,
-		InForce: d.InForce, Live: d.Core.Live, Waiting: d.Core.Waiting, Running: d.Core.Running,
+		Name: d.Name, FailureDomain: d.FailureDomain, Ready: d.Ready, Leaving: d.Scheduler.Leaving,
+		InForce: d.InForce, Live: d.Scheduler.Live, Waiting: d.Scheduler.Waiting, Running: d.Scheduler.Running,
 		HomeOf: homes, PeerBytes: d.PeerBytes, PlatformCalls: d.PlatformCalls,
 	})
 }
@@ -91,7 +91,7 @@
 }
 
 func (s *Server) teams(c echo.Context) error {
-	return c.JSONPretty(http.StatusOK, s.router.Dump().Core.Pools, "  ")
+	return c.JSONPretty(http.StatusOK, s.router.Dump().Scheduler.Pools, "  ")
 }
 
 func (s *Server) upstreams(c echo.Context) error {
--- a/callers/completions.go
+++ b/callers/completions.go
@@ -75,7 +75,7 @@
 
 // whole passes an answer on that comes in one piece. It is read whole first: a
 // part can't be taken back if the rest is lost.
-func (j *job) whole(t *router.Ticket, resp *http.Response) error {
+func (j *job) whole(t *router.Slot, resp *http.Response) error {
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
--- a/callers/job.go
+++ b/callers/job.go
@@ -37,7 +37,7 @@
 	body       []byte
 	repeatable bool
 	// run is set for a request that may run at most once.
-	run *router.KeyRun
+	run *router.KeyClaim
 }
 
 // newJob reads the body and the deadline. Call the returned function at the end.
@@ -84,7 +84,7 @@
 
 // serve finds a slot, sends the request and passes the answer on, as often as
 // the retry policy allows.
-func (j *job) serve(pass func(*router.Ticket, *http.Response) error) error {
+func (j *job) serve(pass func(*router.Slot, *http.Response) error) error {
 	for {
 		j.rec.attempts++
 		ticket, err := j.slot()
@@ -96,7 +96,7 @@
 			j.rec.upstream = ticket.Upstream.Name
 			err = pass(ticket, resp)
 			if err == nil {
-				ticket.Finish()
+				ticket.Release()
 				return nil
 			}
 		}
@@ -107,9 +107,9 @@
 }
 
 // slot waits for a slot whose lease still runs.
-func (j *job) slot() (*router.Ticket, error) {
+func (j *job) slot() (*router.Slot, error) {
 	began := time.Now()
-	ticket, err := j.s.router.Submit(j.ctx, j.request)
+	ticket, err := j.s.router.Acquire(j.ctx, j.request)
 	j.rec.wait += time.Since(began)
 	if err != nil {
 		j.drop()
@@ -119,7 +119,7 @@
 }
 
 // send sends the request once.
-func (j *job) send(t *router.Ticket) (*http.Response, error) {
+func (j *job) send(t *router.Slot) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(j.sendCtx, j.method, "http://"+t.Upstream.Address+j.path, bytes.NewReader(j.body))
 	if err != nil {
 		return nil, &upstream.Failure{Cause: err}
@@ -138,17 +138,17 @@
 // errCallerLeft is a caller that does not take its answer.
 var errCallerLeft = errors.New("callers: the caller left")
 
-func (j *job) mayStillSend(t *router.Ticket) error {
-	if !t.Valid() || (j.run != nil && !j.run.Usable()) {
+func (j *job) mayStillSend(t *router.Slot) error {
+	if !t.Valid() || (j.run != nil && !j.run.Valid()) {
 		return &upstream.Failure{Cause: errStale}
 	}
 	return nil
 }
 
 // failed decides after a failure: nil to try again.
-func (j *job) failed(t *router.Ticket, err error) error {
+func (j *job) failed(t *router.Slot, err error) error {
 	if j.c.Request().Context().Err() != nil || errors.Is(err, errCallerLeft) {
-		t.Finish()
+		t.Release()
 		j.settle(nil)
 		return lost("the caller left")
 	}
@@ -160,7 +160,7 @@
 	})
 	j.s.log.Warn().Err(err).Str("request", j.rec.id).Str("upstream", t.Upstream.Name).Bool("again", d.Retry).Msg("upstream failed")
 	if errors.Is(err, errStale) {
-		t.Finish()
+		t.Release()
 	} else {
 		t.Fail(j.s.policy.AvoidDuration)
 	}
@@ -182,7 +182,7 @@
 // drop gives the key up: the request was never sent.
 func (j *job) drop() {
 	if j.run != nil {
-		j.run.Drop()
+		j.run.Abandon()
 		j.run = nil
 	}
 }
--- a/callers/service.go
+++ b/callers/service.go
@@ -60,7 +60,7 @@
 	claimed := j.s.router.Claim(j.ctx, fmt.Sprintf("%d/%s", j.request.Team, key))
 	switch claimed.Result {
 	case idempotency.Won:
-		j.run = claimed.Run
+		j.run = claimed.Claim
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(j.ctx), onceTimeout)
 		defer cancel()
 		j.sendCtx = ctx
@@ -79,16 +79,16 @@
 		return lost("the key was run before and its answer is not known")
 	}
 	h := j.c.Response().Header()
-	copyHeader(h, r.Answer.Header)
+	copyHeader(h, r.Response.Header)
 	h.Set(HeaderReplayed, "true")
 	h.Set(HeaderOutcome, string(retry.Ran))
-	j.c.Response().WriteHeader(r.Answer.Status)
-	_, _ = j.c.Response().Write(r.Answer.Body)
+	j.c.Response().WriteHeader(r.Response.Status)
+	_, _ = j.c.Response().Write(r.Response.Body)
 	return nil
 }
 
 // pass streams a service's answer to the caller.
-func (j *job) pass(_ *router.Ticket, resp *http.Response) error {
+func (j *job) pass(_ *router.Slot, resp *http.Response) error {
 	defer func() { _ = resp.Body.Close() }()
 	out := j.c.Response()
 	copyHeader(out.Header(), resp.Header)
@@ -123,7 +123,7 @@
 	for {
 		n, err := in.Read(buf)
 		if n > 0 {
-			if kept.Len() <= idempotency.MaxKept {
+			if kept.Len() <= idempotency.MaxResponseBytes {
 				kept.Write(buf[:n])
 			}
 			if _, err := out.Write(buf[:n]); err != nil && j.run == nil {
@@ -143,12 +143,12 @@
 // keep remembers the answer for repeats of the key.
 func (j *job) keep(resp *http.Response, body *bytes.Buffer) {
 	header := resp.Header.Clone()
-	j.settle(&idempotency.Answer{Status: resp.StatusCode, Header: header, Body: body.Bytes()})
+	j.settle(&idempotency.Response{Status: resp.StatusCode, Header: header, Body: body.Bytes()})
 }
 
-func (j *job) settle(answer *idempotency.Answer) {
+func (j *job) settle(answer *idempotency.Response) {
 	if j.run != nil {
-		j.run.Settle(answer)
+		j.run.Complete(answer)
 		j.run = nil
 	}
 }
--- a/callers/stream.go
+++ b/callers/stream.go
@@ -66,7 +66,7 @@
 // relay is a stream on its way from an engine to a caller.
 type relay struct {
 	j      *job
-	ticket *router.Ticket
+	ticket *router.Slot
 	id     string
 	after  string
 	tries  int
@@ -74,7 +74,7 @@
 
 // stream passes a stream on event by event. A broken one is resumed where the
 // caller's answer stands, so that no token comes twice or is missing.
-func (j *job) stream(t *router.Ticket, resp *http.Response) error {
+func (j *job) stream(t *router.Slot, resp *http.Response) error {
 	if resp.StatusCode != http.StatusOK {
 		return j.whole(t, resp)
 	}
--- a/daemon/callers_test.go
+++ b/daemon/callers_test.go
@@ -100,7 +100,7 @@
 		f.engine(standin.EngineConfig{Slots: 1, FirstToken: time.Minute}, true)
 		f.start(1)
 		go f.routers[0].plan("long", 1, true)
-		Eventually(func() int { return f.routers[0].dump().Core.Running }, patience).Should(Equal(1))
+		Eventually(func() int { return f.routers[0].dump().Scheduler.Running }, patience).Should(Equal(1))
 		got := f.routers[0].call(http.MethodPost, "/v1/completions", "schools-key", `{"model":"planner","prompt":"x"}`, map[string]string{"Aspenswitch-Timeout": "200ms"})
 		Expect(got.outcome).To(Equal("not-run"))
 		Expect(got.header.Get("Retry-After")).NotTo(BeEmpty())
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -57,8 +57,8 @@
 		tune(&cfg)
 	}
 	d.router = router.New(cfg, router.Deps{
-		Log: log, Metrics: d.metrics, Peers: peers, PeerTLS: peerTLS,
-		Platform: bundlefeed.NewClient(s.Platform.URL, cfg.WatchWait),
+		Log: log, Metrics: d.metrics, PeerListener: peers, PeerTLS: peerTLS,
+		Platform: bundlefeed.NewClient(s.Platform.URL, cfg.WatchTimeout),
 	})
 	d.callers = callers.NewHTTPServer(callers.New(d.router, log).Handler())
 	d.admin = callers.NewHTTPServer(admin.New(d.router, s.Admin.TokenHash, d.Drain).Handler())
--- a/daemon/failures_test.go
+++ b/daemon/failures_test.go
@@ -102,11 +102,11 @@
 		if err == nil {
 			_, _ = readAll(resp.Body)
 		}
-		Eventually(func() int { return f.routers[0].dump().Core.Running }, patience).Should(BeZero())
+		Eventually(func() int { return f.routers[0].dump().Scheduler.Running }, patience).Should(BeZero())
 		got := make(chan answer, 1)
 		go func() { got <- f.routers[0].plan("next", 1, true) }()
-		Eventually(func() int { return f.routers[0].dump().Core.Running }, patience).Should(Equal(1))
-		Consistently(func() int { return f.routers[0].dump().Core.Pools[0].Upstreams[0].Queued }, "700ms").Should(BeZero())
+		Eventually(func() int { return f.routers[0].dump().Scheduler.Running }, patience).Should(Equal(1))
+		Consistently(func() int { return f.routers[0].dump().Scheduler.Pools[0].Upstreams[0].Queued }, "700ms").Should(BeZero())
 	})
 })
 
--- a/daemon/fleet_test.go
+++ b/daemon/fleet_test.go
@@ -168,8 +168,8 @@
 	m := &member{name: name, done: make(chan struct{}), log: &syncBuffer{}}
 	d, err := daemon.New(s, zerolog.New(m.log), func(c *router.Config) {
 		// Keys may be used at once; the wait for clocks has tests of its own.
-		c.Idempotency.Skew = 50 * time.Millisecond
-		c.WatchWait = time.Second
+		c.Idempotency.MaxClockSkew = 50 * time.Millisecond
+		c.WatchTimeout = time.Second
 		if f.tune != nil {
 			f.tune(c)
 		}
@@ -223,7 +223,7 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		_ = resp.Body.Close()
 		g.Expect(resp.StatusCode).To(Equal(http.StatusOK))
-		g.Expect(m.dump().Core.Live).To(HaveLen(live))
+		g.Expect(m.dump().Scheduler.Live).To(HaveLen(live))
 	}, patience, "20ms").Should(Succeed())
 }
 
--- a/daemon/net_test.go
+++ b/daemon/net_test.go
@@ -43,7 +43,7 @@
 		}
 		Eventually(f.routers[0].log.String, patience).Should(ContainSubstring("opening a new connection"))
 		Eventually(func() int { return f.routers[0].book(newKey()).status }, patience).Should(Equal(http.StatusCreated))
-		Consistently(func() []string { return f.routers[0].dump().Core.Live }, "1500ms", "100ms").Should(HaveLen(3))
+		Consistently(func() []string { return f.routers[0].dump().Scheduler.Live }, "1500ms", "100ms").Should(HaveLen(3))
 	})
 })
 
@@ -96,7 +96,7 @@
 		f.add("vm1")
 		f.add("vm2")
 		f.list(f.routers...)
-		Eventually(func() []string { return f.routers[0].dump().Core.Live }, patience).Should(HaveLen(2))
+		Eventually(func() []string { return f.routers[0].dump().Scheduler.Live }, patience).Should(HaveLen(2))
 		Eventually(func() bool { return f.routers[0].dump().Ready }, patience).Should(BeTrue())
 
 		client := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}}}
--- a/daemon/rollout_test.go
+++ b/daemon/rollout_test.go
@@ -103,7 +103,7 @@
 		f.start(2)
 		got := make(chan answer, 1)
 		go func() { got <- f.routers[0].plan("long", 40, true) }()
-		Eventually(func() int { return f.routers[0].dump().Core.Running }, patience).Should(Equal(1))
+		Eventually(func() int { return f.routers[0].dump().Scheduler.Running }, patience).Should(Equal(1))
 		b := f.bundle
 		b.Version, b.Upstreams = 2, nil
 		f.publish(b)
--- a/idempotency/claim.go
+++ b/idempotency/claim.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// Miss counts a voter that did not answer.
-func (c *Claim) Miss() { c.answered++ }
+// AddMissing counts a voter that did not answer.
+func (c *Claim) AddMissing() { c.answered++ }
 
 // Result tells how the claim stands.
 //
@@ -85,15 +85,15 @@
 	return Unknown
 }
 
-// Other is an owner that has votes, where there is one.
-func (c *Claim) Other() (Owner, bool) { return c.other, c.taken }
+// OtherOwner is an owner that has votes, where there is one.
+func (c *Claim) OtherOwner() (Owner, bool) { return c.other, c.taken }
 
-// Usable reports whether a won claim may still be acted on. Check it at the last
+// Valid reports whether a won claim may still be acted on. Check it at the last
 // moment before sending: a process frozen after its claim could wake when the
 // voters have long forgotten it and another router has run the key.
-func (c *Claim) Usable(now time.Time) bool {
+func (c *Claim) Valid(now time.Time) bool {
 	// The monotonic clock may stand still while a whole VM is suspended; the wall
 	// clock shows that time once it is set right.
 	age := max(now.Sub(c.wonAt), now.Round(0).Sub(c.wonAt.Round(0)))
-	return !c.wonAt.IsZero() && age <= c.cfg.ClaimFor
+	return !c.wonAt.IsZero() && age <= c.cfg.ClaimTTL
 }
--- a/idempotency/idempotency_test.go
+++ b/idempotency/idempotency_test.go
@@ -37,11 +37,11 @@
 	v := idempotency.NewVoter(cfg, start)
 	now := start.Add(time.Minute)
 	g.Expect(v.Vote(now, key(start.Add(-time.Second)), owner(1)).Abstained).To(BeTrue())
-	g.Expect(v.Vote(now, key(start.Add(cfg.Skew)), owner(1)).Abstained).To(BeTrue(), "within the clocks' skew")
+	g.Expect(v.Vote(now, key(start.Add(cfg.MaxClockSkew)), owner(1)).Abstained).To(BeTrue(), "within the clocks' skew")
 	g.Expect(v.Vote(now, key(now.Add(time.Hour)), owner(1)).Abstained).To(BeTrue(), "made in the future")
 	g.Expect(v.Vote(now, "no-uuid", owner(1)).Abstained).To(BeTrue(), "of unknown age")
 	g.Expect(v.Vote(now, key(now), owner(1)).Granted).To(BeTrue())
-	old := start.Add(cfg.Remember + time.Second)
+	old := start.Add(cfg.Retention + time.Second)
 	g.Expect(v.Vote(old, "no-uuid", owner(1)).Granted).To(BeTrue(), "after its memory spans all repeats")
 }
 
@@ -72,12 +72,12 @@
 	now := time.Unix(1_700_000_000, 0)
 	c := idempotency.NewClaim(cfg, 3, 0)
 	c.Add(now, idempotency.Vote{Granted: true})
-	g.Expect(c.Usable(now)).To(BeFalse())
+	g.Expect(c.Valid(now)).To(BeFalse())
 	c.Add(now, idempotency.Vote{Granted: true})
 	g.Expect(c.Result()).To(Equal(idempotency.Won))
-	g.Expect(c.Usable(now.Add(cfg.ClaimFor))).To(BeTrue())
-	g.Expect(c.Usable(now.Add(cfg.ClaimFor + time.Second))).To(BeFalse())
-	g.Expect(2 * cfg.ClaimFor).To(BeNumerically("<", cfg.Remember))
+	g.Expect(c.Valid(now.Add(cfg.ClaimTTL))).To(BeTrue())
+	g.Expect(c.Valid(now.Add(cfg.ClaimTTL + time.Second))).To(BeFalse())
+	g.Expect(2 * cfg.ClaimTTL).To(BeNumerically("<", cfg.Retention))
 }
 
 // The outcome told to a caller who can't be served must be true: not-run only
@@ -93,7 +93,7 @@
 			c.Add(time.Now(), idempotency.Vote{Abstained: true})
 		}
 		for range voters - granted - abstained {
-			c.Miss()
+			c.AddMissing()
 		}
 		return c.Result()
 	}
@@ -134,13 +134,13 @@
 				case "vote":
 					c.Add(now, v.Vote(now, k, owner(attempt)))
 				case "lost":
-					c.Miss()
+					c.AddMissing()
 				case "unheard":
 					v.Vote(now, k, owner(attempt))
-					c.Miss()
+					c.AddMissing()
 				case "restart":
 					voters[i] = idempotency.NewVoter(cfg, now)
-					c.Miss()
+					c.AddMissing()
 				}
 			}
 			sends := rapid.Bool().Draw(t, "sends")
--- a/idempotency/key.go
+++ b/idempotency/key.go
@@ -10,9 +10,9 @@
 // uuidV7 is the version of UUIDs that begin with their mint time.
 const uuidV7 = 7
 
-// MintTime returns when a key was made, if it is a UUIDv7. What stands before
+// CreationTime returns when a key was made, if it is a UUIDv7. What stands before
 // the last slash names whose key it is.
-func MintTime(key string) (time.Time, bool) {
+func CreationTime(key string) (time.Time, bool) {
 	id, err := uuid.Parse(key[strings.LastIndexByte(key, '/')+1:])
 	if err != nil || id.Version() != uuidV7 {
 		return time.Time{}, false
--- a/idempotency/answers.go
+++ b/idempotency/records.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// MaxKept is the largest answer body that is kept for repeats, in bytes.
-const MaxKept = 64 << 10
+// MaxResponseBytes is the largest answer body that is kept for repeats, in bytes.
+const MaxResponseBytes = 64 << 10
 
-// Answer is the first run's answer.
-type Answer struct {
+// Response is the first run's answer.
+type Response struct {
 	Status int         `json:"status"`
 	Header http.Header `json:"header"`
 	Body   []byte      `json:"body"`
@@ -32,8 +32,8 @@
 
 // Record is what the owner of a key knows.
 type Record struct {
-	State  State   `json:"state"`
-	Answer *Answer `json:"answer,omitempty"`
+	State    State     `json:"state"`
+	Response *Response `json:"answer,omitempty"`
 }
 
 // entry is a record with its time and those who wait for it.
@@ -43,37 +43,39 @@
 	done chan struct{}
 }
 
-// Answers keeps the records of the keys that this router owns. It is not safe
+// RecordStore keeps the records of the keys that this router owns. It is not safe
 // for concurrent use.
-type Answers struct {
+type RecordStore struct {
 	cfg  Config
 	keys map[string]*entry
 }
 
-// NewAnswers returns an empty table.
-func NewAnswers(cfg Config) *Answers { return &Answers{cfg: cfg, keys: map[string]*entry{}} }
+// NewRecordStore returns an empty table.
+func NewRecordStore(cfg Config) *RecordStore {
+	return &RecordStore{cfg: cfg, keys: map[string]*entry{}}
+}
 
 // Begin notes that the key's claim was won here.
-func (a *Answers) Begin(now time.Time, key string) {
+func (a *RecordStore) Begin(now time.Time, key string) {
 	a.sweep(now)
 	a.keys[key] = &entry{Record: Record{State: Running}, at: now, done: make(chan struct{})}
 }
 
-// Finish notes the answer; nil if it was lost.
-func (a *Answers) Finish(key string, answer *Answer) {
+// Complete notes the answer; nil if it was lost.
+func (a *RecordStore) Complete(key string, answer *Response) {
 	e, ok := a.keys[key]
 	if !ok || e.State != Running {
 		return
 	}
 	e.Record = Record{State: Lost}
-	if answer != nil && len(answer.Body) <= MaxKept {
-		e.Record = Record{State: Done, Answer: answer}
+	if answer != nil && len(answer.Body) <= MaxResponseBytes {
+		e.Record = Record{State: Done, Response: answer}
 	}
 	close(e.done)
 }
 
-// Drop forgets a key that was given up without being sent.
-func (a *Answers) Drop(key string) {
+// Abandon forgets a key that was given up without being sent.
+func (a *RecordStore) Abandon(key string) {
 	if e, ok := a.keys[key]; ok && e.State == Running {
 		delete(a.keys, key)
 		close(e.done)
@@ -82,7 +84,7 @@
 
 // Get returns the record of a key and, while it runs, a channel that closes
 // when it has ended.
-func (a *Answers) Get(key string) (Record, <-chan struct{}) {
+func (a *RecordStore) Get(key string) (Record, <-chan struct{}) {
 	e, ok := a.keys[key]
 	if !ok {
 		return Record{State: Absent}, nil
@@ -94,13 +96,13 @@
 }
 
 // sweep forgets records that no repeat can ask for any more.
-func (a *Answers) sweep(now time.Time) {
+func (a *RecordStore) sweep(now time.Time) {
 	for key, e := range a.keys {
-		if e.State != Running && now.Sub(e.at) > a.cfg.Remember {
+		if e.State != Running && now.Sub(e.at) > a.cfg.Retention {
 			delete(a.keys, key)
 		}
 	}
 }
 
 // Len is the number of records.
-func (a *Answers) Len() int { return len(a.keys) }
+func (a *RecordStore) Len() int { return len(a.keys) }
--- a/idempotency/voter.go
+++ b/idempotency/voter.go
@@ -63,14 +63,14 @@
 // A mint time in the future is not believed: the caller's clock is off by more
 // than the skew, and the key may be older than this process after all.
 func (v *Voter) remembers(now time.Time, key string) bool {
-	if now.Sub(v.started) >= v.cfg.Remember {
+	if now.Sub(v.started) >= v.cfg.Retention {
 		return true
 	}
-	minted, ok := MintTime(key)
-	if !ok || minted.After(now.Add(v.cfg.Skew)) {
+	minted, ok := CreationTime(key)
+	if !ok || minted.After(now.Add(v.cfg.MaxClockSkew)) {
 		return false
 	}
-	return minted.After(v.started.Add(v.cfg.Skew))
+	return minted.After(v.started.Add(v.cfg.MaxClockSkew))
 }
 
 // mintResolution is what a UUIDv7 tells of its mint time: it cuts off parts of a
@@ -81,7 +81,7 @@
 // votes on keys that are made then, by a caller with the same clock. A router
 // that takes bookings earlier answers them "unknown" for nothing.
 func (cfg Config) VotesFrom(started time.Time) time.Time {
-	return started.Add(cfg.Skew + 2*mintResolution)
+	return started.Add(cfg.MaxClockSkew + 2*mintResolution)
 }
 
 // Release takes back a vote whose owner says that it has not sent the request
@@ -94,12 +94,12 @@
 
 // sweep forgets votes that have stood long enough.
 func (v *Voter) sweep(now time.Time) {
-	if now.Sub(v.sweepAt) < v.cfg.Skew {
+	if now.Sub(v.sweepAt) < v.cfg.MaxClockSkew {
 		return
 	}
 	v.sweepAt = now
 	for key, b := range v.votes {
-		if now.Sub(b.at) > v.cfg.Remember {
+		if now.Sub(b.at) > v.cfg.Retention {
 			delete(v.votes, key)
 		}
 	}
--- a/router/claim.go
+++ b/router/claim.go
@@ -11,18 +11,18 @@
 	"github.com/aspenswitch/aspenswitch/idempotency"
 )
 
-// Claimed is what came of claiming a key.
-type Claimed struct {
+// ClaimResult is what came of claiming a key.
+type ClaimResult struct {
 	Result idempotency.Result
-	// Run is set after Won.
-	Run *KeyRun
+	// Claim is set after Won.
+	Claim *KeyClaim
 	// Record is the first run's, where another attempt owns the key.
 	Record idempotency.Record
 }
 
-// KeyRun is the right to run a key once. Exactly one of Drop and Settle must be
+// KeyClaim is the right to run a key once. Exactly one of Drop and Settle must be
 // called.
-type KeyRun struct {
+type KeyClaim struct {
 	r      *Router
 	key    string
 	owner  idempotency.Owner
@@ -34,17 +34,17 @@
 	tolerance int
 }
 
-// Usable reports whether the right still stands. Check it right before sending.
-func (k *KeyRun) Usable() bool { return k.claim.Usable(time.Now()) }
+// Valid reports whether the right still stands. Check it right before sending.
+func (k *KeyClaim) Valid() bool { return k.claim.Valid(time.Now()) }
 
-// Drop gives the right up; the request was not sent and never will be.
-func (k *KeyRun) Drop() {
+// Abandon gives the right up; the request was not sent and never will be.
+func (k *KeyClaim) Abandon() {
 	k.r.post(drop{key: k.key})
 	k.r.releaseVotes(k.key, k.owner, k.voters)
 }
 
-// Settle keeps the run's answer for repeats; nil if it was lost.
-func (k *KeyRun) Settle(answer *idempotency.Answer) {
+// Complete keeps the run's answer for repeats; nil if it was lost.
+func (k *KeyClaim) Complete(answer *idempotency.Response) {
 	k.r.post(settle{key: k.key, answer: answer})
 }
 
@@ -59,8 +59,8 @@
 
 // Claim asks the key's voters for the right to run it. Where another attempt
 // won, the record tells how its run went.
-func (r *Router) Claim(ctx context.Context, key string) Claimed {
-	claimed := Claimed{Result: idempotency.Unknown}
+func (r *Router) Claim(ctx context.Context, key string) ClaimResult {
+	claimed := ClaimResult{Result: idempotency.Unknown}
 	for range claimTries {
 		claimed = r.claimOnce(ctx, key)
 		if claimed.Result != idempotency.Taken || claimed.Record.State != idempotency.Absent {
@@ -74,14 +74,14 @@
 	return claimed
 }
 
-func (r *Router) claimOnce(ctx context.Context, key string) Claimed {
+func (r *Router) claimOnce(ctx context.Context, key string) ClaimResult {
 	list := r.vms.Load()
 	if list == nil || !slices.Contains(list.names, r.cfg.Name) {
 		// Without a list, or dropped from it, this router can't know the voters.
-		return Claimed{Result: idempotency.Unknown}
+		return ClaimResult{Result: idempotency.Unknown}
 	}
-	tolerance := list.tolerance(time.Now(), r.cfg.ListLag)
-	run := &KeyRun{
+	tolerance := list.tolerance(time.Now(), r.cfg.MaxVMListLag)
+	run := &KeyClaim{
 		r: r, key: key, voters: r.voters(list, key), list: list, tolerance: tolerance,
 		owner: idempotency.Owner{
 			Router: r.cfg.Name, Incarnation: r.cfg.Incarnation, Attempt: r.lastID.Add(1),
@@ -91,13 +91,13 @@
 	result := run.claim.Result()
 	if result == idempotency.Won {
 		r.post(begin{key: key})
-		return Claimed{Result: result, Run: run}
+		return ClaimResult{Result: result, Claim: run}
 	}
 	r.releaseVotes(key, run.owner, run.voters)
-	if other, taken := run.claim.Other(); taken && result == idempotency.Taken {
+	if other, taken := run.claim.OtherOwner(); taken && result == idempotency.Taken {
 		return r.askOwner(ctx, key, other)
 	}
-	return Claimed{Result: result}
+	return ClaimResult{Result: result}
 }
 
 // voters returns the VMs that vote on a key: the first of the platform's list by
@@ -118,7 +118,7 @@
 }
 
 // collectVotes asks all voters at once and stops as soon as the result is known.
-func (r *Router) collectVotes(ctx context.Context, run *KeyRun) *idempotency.Claim {
+func (r *Router) collectVotes(ctx context.Context, run *KeyClaim) *idempotency.Claim {
 	ctx, done := context.WithTimeout(ctx, voteTimeout)
 	defer done()
 	claim := idempotency.NewClaim(r.cfg.Idempotency, len(run.voters), run.tolerance)
@@ -130,7 +130,7 @@
 		if v := <-answers; v != nil {
 			claim.Add(time.Now(), *v)
 		} else {
-			claim.Miss()
+			claim.AddMissing()
 		}
 		if claim.Result() != idempotency.Pending {
 			break
@@ -141,7 +141,7 @@
 
 // message asks for a vote. A run that tolerates no difference between lists
 // tells which one it has.
-func (k *KeyRun) message() keyMessage {
+func (k *KeyClaim) message() keyMessage {
 	m := keyMessage{Key: k.key, Owner: k.owner}
 	if k.tolerance == 0 {
 		m.List = k.list.digest
@@ -149,7 +149,7 @@
 	return m
 }
 
-func (r *Router) askVote(ctx context.Context, name string, run *KeyRun) *idempotency.Vote {
+func (r *Router) askVote(ctx context.Context, name string, run *KeyClaim) *idempotency.Vote {
 	if name == r.cfg.Name {
 		v, err := r.vote(ctx, run.message())
 		if err != nil {
@@ -195,8 +195,8 @@
 }
 
 // askOwner asks the router that won a key how its run went.
-func (r *Router) askOwner(ctx context.Context, key string, owner idempotency.Owner) Claimed {
-	claimed := Claimed{Result: idempotency.Taken, Record: idempotency.Record{State: idempotency.Lost}}
+func (r *Router) askOwner(ctx context.Context, key string, owner idempotency.Owner) ClaimResult {
+	claimed := ClaimResult{Result: idempotency.Taken, Record: idempotency.Record{State: idempotency.Lost}}
 	ctx, done := context.WithTimeout(ctx, answerTimeout)
 	defer done()
 	record, err := r.recallFrom(ctx, key, owner)
--- a/router/config.go
+++ b/router/config.go
@@ -19,14 +19,14 @@
 	Scheduler     sched.Config
 	Idempotency   idempotency.Config
 	Upstream      upstream.Config
-	// Tick is how often the core does what time alone brings about.
-	Tick time.Duration
-	// PollEvery is how often the list of VMs and upstreams' load are read.
-	PollEvery, LoadEvery time.Duration
-	// ListLag is the most that the platform's list of VMs lags, at any reader.
-	ListLag time.Duration
-	// WatchWait bounds one waiting watch on the platform.
-	WatchWait         time.Duration
+	// TickInterval is how often the core does what time alone brings about.
+	TickInterval time.Duration
+	// VMPollInterval is how often the list of VMs and upstreams' load are read.
+	VMPollInterval, LoadPollInterval time.Duration
+	// MaxVMListLag is the most that the platform's list of VMs lags, at any reader.
+	MaxVMListLag time.Duration
+	// WatchTimeout bounds one waiting watch on the platform.
+	WatchTimeout      time.Duration
 	WatchersPerDomain int
 }
 
@@ -53,11 +53,11 @@
 		Scheduler:         core,
 		Idempotency:       idempotency.DefaultConfig(),
 		Upstream:          upstream.DefaultConfig(),
-		Tick:              time.Duration(s.Scheduler.Tick),
-		PollEvery:         time.Duration(s.Platform.PollEvery),
-		LoadEvery:         defaultLoadEvery,
-		ListLag:           time.Duration(s.Platform.ListLag),
-		WatchWait:         defaultWatchWait,
+		TickInterval:      time.Duration(s.Scheduler.Tick),
+		VMPollInterval:    time.Duration(s.Platform.PollEvery),
+		LoadPollInterval:  defaultLoadEvery,
+		MaxVMListLag:      time.Duration(s.Platform.ListLag),
+		WatchTimeout:      defaultWatchWait,
 		WatchersPerDomain: s.Platform.WatchersPerDomain,
 	}
 }
--- a/router/control.go
+++ b/router/control.go
@@ -17,7 +17,7 @@
 	node     *sched.Node
 	acceptor *bundle.Acceptor
 	voter    *idempotency.Voter
-	answers  *idempotency.Answers
+	answers  *idempotency.RecordStore
 	waiters  map[sched.RequestID]*waiter
 	list     []membership.Listed
 	// held is the latest verified bundle; view is the one in force.
@@ -45,7 +45,7 @@
 		node:     sched.NewNode(now, r.cfg.Scheduler),
 		acceptor: bundle.NewAcceptor(r.cfg.Name),
 		voter:    idempotency.NewVoter(r.cfg.Idempotency, r.started),
-		answers:  idempotency.NewAnswers(r.cfg.Idempotency),
+		answers:  idempotency.NewRecordStore(r.cfg.Idempotency),
 		waiters:  map[sched.RequestID]*waiter{},
 		told:     map[string]tell{},
 		fetched:  map[string]bundle.Mark{},
@@ -54,7 +54,7 @@
 
 // run is the control goroutine.
 func (c *control) run(stop <-chan struct{}) {
-	ticker := time.NewTicker(c.r.cfg.Tick)
+	ticker := time.NewTicker(c.r.cfg.TickInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/router/dump.go
+++ b/router/dump.go
@@ -21,12 +21,12 @@
 	Held          bundle.Mark      `json:"bundleHeld"`
 	InForce       bundle.Mark      `json:"bundleInForce"`
 	Conflicts     []bundle.Mark    `json:"bundleConflicts,omitempty"`
-	// HeardMajority is set once most listed VMs have told which bundle they hold.
-	HeardMajority bool                `json:"bundleHeardMajority"`
-	Votes         int                 `json:"votes"`
-	Answers       int                 `json:"answersKept"`
-	VMs           []membership.Listed `json:"vms"`
-	Core          sched.Dump          `json:"core"`
+	// MajorityReported is set once most listed VMs have told which bundle they hold.
+	MajorityReported bool                `json:"bundleHeardMajority"`
+	Votes            int                 `json:"votes"`
+	StoredResponses  int                 `json:"answersKept"`
+	VMs              []membership.Listed `json:"vms"`
+	Scheduler        sched.Dump          `json:"core"`
 }
 
 // Dump returns the state now.
@@ -38,9 +38,9 @@
 	}
 	r.inspect(func(c *control) {
 		d.Held, d.InForce, d.Conflicts = c.acceptor.Latest(), c.acceptor.InForce(), c.acceptor.Conflicts()
-		d.HeardMajority = c.acceptor.Ready()
-		d.Votes, d.Answers, d.VMs = c.voter.Len(), c.answers.Len(), c.list
-		d.Core = c.node.Dump(time.Now())
+		d.MajorityReported = c.acceptor.Ready()
+		d.Votes, d.StoredResponses, d.VMs = c.voter.Len(), c.answers.Len(), c.list
+		d.Scheduler = c.node.Dump(time.Now())
 	})
 	return d
 }
--- a/router/message.go
+++ b/router/message.go
@@ -78,7 +78,7 @@
 	begin  struct{ key string }
 	settle struct {
 		key    string
-		answer *idempotency.Answer
+		answer *idempotency.Response
 	}
 	drop struct{ key string }
 )
@@ -132,8 +132,8 @@
 }
 func (m release) apply(c *control, _ time.Time) { c.voter.Release(m.key, m.owner) }
 func (m begin) apply(c *control, now time.Time) { c.answers.Begin(now, m.key) }
-func (m settle) apply(c *control, _ time.Time)  { c.answers.Finish(m.key, m.answer) }
-func (m drop) apply(c *control, _ time.Time)    { c.answers.Drop(m.key) }
+func (m settle) apply(c *control, _ time.Time)  { c.answers.Complete(m.key, m.answer) }
+func (m drop) apply(c *control, _ time.Time)    { c.answers.Abandon(m.key) }
 func (m recall) apply(c *control, _ time.Time) {
 	record, done := c.answers.Get(m.key)
 	m.reply <- recalled{record: record, done: done}
--- a/router/ready_test.go
+++ b/router/ready_test.go
@@ -51,12 +51,12 @@
 	s := settings.Default()
 	s.Name, s.FailureDomain, s.Operators = "vm1", "a", operators
 	cfg := router.NewConfig(s, 1)
-	cfg.Idempotency.Skew = 50 * time.Millisecond
-	cfg.PollEvery = 20 * time.Millisecond
-	cfg.WatchWait = time.Second
+	cfg.Idempotency.MaxClockSkew = 50 * time.Millisecond
+	cfg.VMPollInterval = 20 * time.Millisecond
+	cfg.WatchTimeout = time.Second
 	f.router = router.New(cfg, router.Deps{
-		Log: zerolog.Nop(), Metrics: obs.NewMetrics("test"), Peers: peers,
-		Platform: bundlefeed.NewClient(server.URL, cfg.WatchWait),
+		Log: zerolog.Nop(), Metrics: obs.NewMetrics("test"), PeerListener: peers,
+		Platform: bundlefeed.NewClient(server.URL, cfg.WatchTimeout),
 	})
 	t.Cleanup(f.router.Stop)
 	return f
@@ -115,7 +115,7 @@
 	f.awaitReady(g)
 	claimed := f.router.Claim(context.Background(), freshKey())
 	g.Expect(claimed.Result).To(Equal(idempotency.Won))
-	claimed.Run.Drop()
+	claimed.Claim.Abandon()
 }
 
 // The platform has a bundle but doesn't yet list this VM. The router can't know
@@ -131,5 +131,5 @@
 	f.awaitReady(g)
 	claimed := f.router.Claim(context.Background(), freshKey())
 	g.Expect(claimed.Result).To(Equal(idempotency.Won))
-	claimed.Run.Drop()
+	claimed.Claim.Abandon()
 }
--- a/router/router.go
+++ b/router/router.go
@@ -53,9 +53,9 @@
 type Deps struct {
 	Log     zerolog.Logger
 	Metrics *obs.Metrics
-	// Peers is where the router listens for its peers.
-	Peers    net.Listener
-	Platform *bundlefeed.Client
+	// PeerListener is where the router listens for its peers.
+	PeerListener net.Listener
+	Platform     *bundlefeed.Client
 	// PeerTLS is used between routers where it is set.
 	PeerTLS PeerTLS
 }
@@ -73,7 +73,7 @@
 	}
 	meshConfig := peer.DefaultConfig(&peerHandler{r: r}, d.Log)
 	meshConfig.ServerTLS, meshConfig.ClientTLS = d.PeerTLS.Server, d.PeerTLS.Client
-	r.mesh = peer.NewMesh(meshConfig, d.Peers)
+	r.mesh = peer.NewMesh(meshConfig, d.PeerListener)
 	return r
 }
 
@@ -103,7 +103,7 @@
 func (r *Router) Drain(ctx context.Context) int {
 	r.leaving.Store(true)
 	r.post(leave{})
-	ticker := time.NewTicker(r.cfg.Tick)
+	ticker := time.NewTicker(r.cfg.TickInterval)
 	defer ticker.Stop()
 	for {
 		running := 0
@@ -148,8 +148,8 @@
 	return voting && r.wasListed.Load() && r.view.Load() != nil && !r.leaving.Load()
 }
 
-// Leaving reports whether the router shuts down.
-func (r *Router) Leaving() bool { return r.leaving.Load() }
+// Draining reports whether the router shuts down.
+func (r *Router) Draining() bool { return r.leaving.Load() }
 
 // Bundle returns the bundle in force, nil before there is one.
 func (r *Router) Bundle() *bundle.Bundle {
--- a/router/ticket.go
+++ b/router/slot.go
@@ -28,9 +28,9 @@
 // Error implements error.
 func (r *Refusal) Error() string { return "not run: " + string(r.Reason) }
 
-// Ticket is a slot of an upstream, given to one request. Exactly one of Finish
+// Slot is a slot of an upstream, given to one request. Exactly one of Finish
 // and Fail must be called.
-type Ticket struct {
+type Slot struct {
 	r        *Router
 	id       sched.RequestID
 	until    time.Time
@@ -40,17 +40,17 @@
 // Valid reports whether the slot's lease still runs. Check it right before
 // sending: the process may have been paused since the slot was given, and
 // another router may have it now.
-func (t *Ticket) Valid() bool { return time.Now().Before(t.until) }
+func (t *Slot) Valid() bool { return time.Now().Before(t.until) }
 
-// Finish gives the slot back after the request ended.
-func (t *Ticket) Finish() { t.r.post(finish{id: t.id}) }
+// Release gives the slot back after the request ended.
+func (t *Slot) Release() { t.r.post(finish{id: t.id}) }
 
 // Fail gives the slot back after the upstream did not serve the request; the
 // upstream gets no work from this router for a while.
-func (t *Ticket) Fail(avoid time.Duration) { t.r.post(fail{id: t.id, avoid: avoid}) }
+func (t *Slot) Fail(avoid time.Duration) { t.r.post(fail{id: t.id, avoid: avoid}) }
 
-// Submit waits for a slot. The error is a *Refusal, or the context's.
-func (r *Router) Submit(ctx context.Context, req sched.Request) (*Ticket, error) {
+// Acquire waits for a slot. The error is a *Refusal, or the context's.
+func (r *Router) Acquire(ctx context.Context, req sched.Request) (*Slot, error) {
 	req.ID = sched.RequestID(r.lastID.Add(1))
 	w := &waiter{grant: make(chan grant, 1)}
 	r.post(arrive{request: req, waiter: w})
@@ -65,7 +65,7 @@
 	}
 }
 
-func (r *Router) ticket(req sched.Request, g grant) (*Ticket, error) {
+func (r *Router) ticket(req sched.Request, g grant) (*Slot, error) {
 	if g.refusal != nil {
 		return nil, g.refusal
 	}
@@ -74,5 +74,5 @@
 		r.post(finish{id: req.ID})
 		return nil, &Refusal{Reason: sched.NoPool, RetryAfter: time.Second}
 	}
-	return &Ticket{r: r, id: req.ID, until: g.until, Upstream: u}, nil
+	return &Slot{r: r, id: req.ID, until: g.until, Upstream: u}, nil
 }
--- a/router/watch.go
+++ b/router/watch.go
@@ -22,7 +22,7 @@
 		} else {
 			r.post(listed{list: list})
 		}
-		if !r.sleep(r.cfg.PollEvery) {
+		if !r.sleep(r.cfg.VMPollInterval) {
 			return
 		}
 	}
@@ -34,16 +34,16 @@
 	etag := ""
 	for {
 		if !r.isWatcher() {
-			if !r.sleep(r.cfg.Tick) {
+			if !r.sleep(r.cfg.TickInterval) {
 				return
 			}
 			continue
 		}
-		raw, newTag, err := r.platform.Bundle(r.ctx, etag, r.cfg.WatchWait)
+		raw, newTag, err := r.platform.Bundle(r.ctx, etag, r.cfg.WatchTimeout)
 		switch {
 		case err != nil:
 			r.log.Warn().Err(err).Msg("bundle not read")
-			if !r.sleep(r.cfg.PollEvery) {
+			if !r.sleep(r.cfg.VMPollInterval) {
 				return
 			}
 		case raw != nil:
@@ -100,7 +100,7 @@
 // pollLoads reads the load reports of the upstreams that this router is home of.
 func (r *Router) pollLoads() {
 	client := &http.Client{Timeout: time.Second}
-	for r.sleep(r.cfg.LoadEvery) {
+	for r.sleep(r.cfg.LoadPollInterval) {
 		var homes []sched.Upstream
 		r.inspect(func(c *control) { homes = c.node.HomedUpstreams() })
 		for _, u := range homes {
