--- a/admin/server.go
+++ b/admin/server.go
@@ -52,17 +52,17 @@
 
 // Status is a router's state in a line.
 type Status struct {
-	Name          string      `json:"name"`
-	FailureDomain string      `json:"failureDomain"`
-	Ready         bool        `json:"ready"`
-	Leaving       bool        `json:"leaving"`
-	InForce       bundle.Mark `json:"bundleInForce"`
-	Live          []string    `json:"live"`
-	Waiting       int         `json:"waiting"`
-	Running       int         `json:"running"`
-	HomeOf        int         `json:"homeOf"`
-	PeerBytes     int64       `json:"peerBytesSent"`
-	PlatformCalls int64       `json:"platformCalls"`
+	Name          string           `json:"name"`
+	FailureDomain string           `json:"failureDomain"`
+	Ready         bool             `json:"ready"`
+	Leaving       bool             `json:"leaving"`
+	InForce       bundle.VersionID `json:"bundleInForce"`
+	Live          []string         `json:"live"`
+	Waiting       int              `json:"waiting"`
+	Running       int              `json:"running"`
+	HomeOf        int              `json:"homeOf"`
+	PeerBytes     int64            `json:"peerBytesSent"`
+	PlatformCalls int64            `json:"platformCalls"`
 }
 
 func (s *Server) status(c echo.Context) error {
--- a/bundle/acceptor.go
+++ b/bundle/acceptor.go
@@ -5,24 +5,24 @@
 	"slices"
 )
 
-// Mark names one content of one version.
-type Mark struct {
+// VersionID names one content of one version.
+type VersionID struct {
 	Version uint64 `json:"version"`
 	Digest  string `json:"digest"`
 }
 
 // Later reports whether m is of a later version than o.
-func (m Mark) Later(o Mark) bool { return m.Version > o.Version }
+func (m VersionID) Later(o VersionID) bool { return m.Version > o.Version }
 
-// Verdict is what an Acceptor made of an offer.
-type Verdict int
+// OfferResult is what an Acceptor made of an offer.
+type OfferResult int
 
 // Verdicts on an offered bundle.
 const (
-	// Held: this router now holds the offer as its latest version.
-	Held Verdict = iota
-	// Known: the offer is what is held already.
-	Known
+	// Accepted: this router now holds the offer as its latest version.
+	Accepted OfferResult = iota
+	// Duplicate: the offer is what is held already.
+	Duplicate
 	// Stale: a later version is held; the offer is refused.
 	Stale
 	// Conflict: the same version with other content is held; the offer is
@@ -44,11 +44,11 @@
 type Acceptor struct {
 	self    string
 	listed  []string
-	held    Mark
-	inForce Mark
-	heard   map[string]Mark
+	held    VersionID
+	inForce VersionID
+	heard   map[string]VersionID
 	// conflicts are contents refused for a version that is held with another.
-	conflicts map[Mark]bool
+	conflicts map[VersionID]bool
 }
 
 // NewAcceptor returns the acceptor of a router that has just started.
@@ -56,14 +56,14 @@
 	return &Acceptor{
 		self:      self,
 		listed:    []string{self},
-		heard:     map[string]Mark{},
-		conflicts: map[Mark]bool{},
+		heard:     map[string]VersionID{},
+		conflicts: map[VersionID]bool{},
 	}
 }
 
-// SetList names the VMs whose majority decides. What dropped VMs held no longer
+// SetVoters names the VMs whose majority decides. What dropped VMs held no longer
 // counts.
-func (a *Acceptor) SetList(names []string) {
+func (a *Acceptor) SetVoters(names []string) {
 	a.listed = slices.Clone(names)
 	if !slices.Contains(a.listed, a.self) {
 		a.listed = append(a.listed, a.self)
@@ -72,10 +72,10 @@
 }
 
 // Offer judges a verified bundle from the platform or from a peer.
-func (a *Acceptor) Offer(m Mark) Verdict {
+func (a *Acceptor) Offer(m VersionID) OfferResult {
 	switch {
 	case m == a.held:
-		return Known
+		return Duplicate
 	case m.Version < a.held.Version:
 		return Stale
 	case m.Version == a.held.Version:
@@ -83,25 +83,25 @@
 	}
 	a.held = m
 	a.decide()
-	return Held
+	return Accepted
 }
 
 // conflict refuses another content of the held version, unless a majority holds
 // it: then it is the accepted one, and this router was on the losing side of a
 // race between two operators.
-func (a *Acceptor) conflict(m Mark) Verdict {
+func (a *Acceptor) conflict(m VersionID) OfferResult {
 	if a.inForce != a.held && a.holders(m) >= a.majority() {
 		a.held = m
 		a.decide()
-		return Held
+		return Accepted
 	}
 	a.conflicts[m] = true
 	return Conflict
 }
 
-// Hear notes what a peer holds. It returns true if this router should fetch it:
+// RecordPeer notes what a peer holds. It returns true if this router should fetch it:
 // the peer's is later, or it is the accepted content of the held version.
-func (a *Acceptor) Hear(peer string, m Mark) bool {
+func (a *Acceptor) RecordPeer(peer string, m VersionID) bool {
 	a.heard[peer] = m
 	a.decide()
 	if m.Later(a.held) {
@@ -122,7 +122,7 @@
 
 // holders counts the listed VMs that hold exactly the mark. Who holds a later
 // version may have held another content of this one before.
-func (a *Acceptor) holders(m Mark) int {
+func (a *Acceptor) holders(m VersionID) int {
 	n := 0
 	for _, name := range a.listed {
 		held := a.heard[name]
@@ -150,14 +150,14 @@
 }
 
 // InForce is the version that this router acts by; zero for none yet.
-func (a *Acceptor) InForce() Mark { return a.inForce }
+func (a *Acceptor) InForce() VersionID { return a.inForce }
 
 // Latest is the latest version held here, in force or not.
-func (a *Acceptor) Latest() Mark { return a.held }
+func (a *Acceptor) Latest() VersionID { return a.held }
 
 // Conflicts returns the refused contents, by version.
-func (a *Acceptor) Conflicts() []Mark {
-	return slices.SortedFunc(maps.Keys(a.conflicts), func(x, y Mark) int {
+func (a *Acceptor) Conflicts() []VersionID {
+	return slices.SortedFunc(maps.Keys(a.conflicts), func(x, y VersionID) int {
 		return int(x.Version) - int(y.Version)
 	})
 }
--- a/bundle/bundle.go
+++ b/bundle/bundle.go
@@ -85,13 +85,13 @@
 	QueuePerTeam int `json:"queuePerTeam"`
 }
 
-// TakesWork reports whether an upstream of the bundle gets new work.
-func (b *Bundle) TakesWork(u Upstream) bool {
+// Schedulable reports whether an upstream of the bundle gets new work.
+func (b *Bundle) Schedulable(u Upstream) bool {
 	return !u.Leaving && !slices.Contains(b.Evacuated, u.FailureDomain)
 }
 
-// PoolNamed returns the pool with the name.
-func (b *Bundle) PoolNamed(name string) (Pool, bool) {
+// PoolByName returns the pool with the name.
+func (b *Bundle) PoolByName(name string) (Pool, bool) {
 	i := slices.IndexFunc(b.Pools, func(p Pool) bool { return p.Name == name })
 	if i < 0 {
 		return Pool{}, false
@@ -99,8 +99,8 @@
 	return b.Pools[i], true
 }
 
-// PoolOfModel returns the pool that serves a model.
-func (b *Bundle) PoolOfModel(model string) (Pool, bool) {
+// PoolForModel returns the pool that serves a model.
+func (b *Bundle) PoolForModel(model string) (Pool, bool) {
 	i := slices.IndexFunc(b.Pools, func(p Pool) bool { return slices.Contains(p.Models, model) })
 	if i < 0 {
 		return Pool{}, false
@@ -108,8 +108,8 @@
 	return b.Pools[i], true
 }
 
-// PoolOfService returns the pool of a plain service.
-func (b *Bundle) PoolOfService(service string) (Pool, bool) {
+// PoolForService returns the pool of a plain service.
+func (b *Bundle) PoolForService(service string) (Pool, bool) {
 	i := slices.IndexFunc(b.Pools, func(p Pool) bool { return p.Service == service && service != "" })
 	if i < 0 {
 		return Pool{}, false
@@ -117,8 +117,8 @@
 	return b.Pools[i], true
 }
 
-// May reports whether the team may use the pool.
-func (t Team) May(p Pool) bool {
+// MayUse reports whether the team may use the pool.
+func (t Team) MayUse(p Pool) bool {
 	return len(t.Pools) == 0 || slices.Contains(t.Pools, p.Name)
 }
 
@@ -126,7 +126,7 @@
 func (b *Bundle) Models(t Team) []string {
 	var models []string
 	for _, p := range b.Pools {
-		if t.May(p) {
+		if t.MayUse(p) {
 			models = append(models, p.Models...)
 		}
 	}
--- a/bundle/check.go
+++ b/bundle/check.go
@@ -96,7 +96,7 @@
 			c.key(keys, fmt.Sprintf("%s/keys/%d", at, k), key)
 		}
 		for k, pool := range t.Pools {
-			if _, ok := c.b.PoolNamed(pool); !ok {
+			if _, ok := c.b.PoolByName(pool); !ok {
 				c.doc.Add(fmt.Sprintf("%s/pools/%d", at, k), "no pool is named %q", pool)
 			}
 		}
@@ -171,7 +171,7 @@
 		c.doc.Add(at+"/kind", "must be %q or %q", Engine, Service)
 		return
 	}
-	p, ok := c.b.PoolNamed(u.Pool)
+	p, ok := c.b.PoolByName(u.Pool)
 	if !ok {
 		c.doc.Add(at+"/pool", "no pool is named %q", u.Pool)
 		return
--- a/bundlefeed/client.go
+++ b/bundlefeed/client.go
@@ -44,9 +44,9 @@
 // Calls is the number of calls made.
 func (c *Client) Calls() int64 { return c.calls.Load() }
 
-// Bundle waits until the published bundle differs from the one that etag names
+// WatchBundle waits until the published bundle differs from the one that etag names
 // and returns it. It returns nil without an error if nothing came within wait.
-func (c *Client) Bundle(ctx context.Context, etag string, wait time.Duration) (raw []byte, newTag string, err error) {
+func (c *Client) WatchBundle(ctx context.Context, etag string, wait time.Duration) (raw []byte, newTag string, err error) {
 	q := url.Values{"after": {etag}, "wait": {wait.String()}}
 	resp, err := c.get(ctx, "/v1/bundle?"+q.Encode())
 	if err != nil {
@@ -64,8 +64,8 @@
 	return raw, resp.Header.Get("ETag"), Error.Wrap(err)
 }
 
-// VMs reads the list of VMs.
-func (c *Client) VMs(ctx context.Context) ([]membership.Listed, error) {
+// ListVMs reads the list of VMs.
+func (c *Client) ListVMs(ctx context.Context) ([]membership.Listed, error) {
 	resp, err := c.get(ctx, "/v1/vms")
 	if err != nil {
 		return nil, err
--- a/callers/completions.go
+++ b/callers/completions.go
@@ -47,8 +47,8 @@
 	if err != nil {
 		return err
 	}
-	pool, ok := b.PoolOfModel(body.Model)
-	if !ok || !team.May(pool) {
+	pool, ok := b.PoolForModel(body.Model)
+	if !ok || !team.MayUse(pool) {
 		return badRequest(http.StatusNotFound, "model_not_found", fmt.Sprintf(
 			"there is no model %q for this team; there are: %s", body.Model, strings.Join(b.Models(team), ", ")))
 	}
--- a/callers/service.go
+++ b/callers/service.go
@@ -26,8 +26,8 @@
 
 // service serves /services/{name}/...: the path below goes to the service as it is.
 func (s *Server) service(c echo.Context) error {
-	pool, ok := s.router.Bundle().PoolOfService(c.Param("service"))
-	if !ok || !teamOf(c).May(pool) {
+	pool, ok := s.router.Bundle().PoolForService(c.Param("service"))
+	if !ok || !teamOf(c).MayUse(pool) {
 		return badRequest(http.StatusNotFound, "service_not_found", fmt.Sprintf("there is no service %q for this team", c.Param("service")))
 	}
 	j, cancel, err := s.newJob(c)
--- a/cmd/aspenswitchctl/main.go
+++ b/cmd/aspenswitchctl/main.go
@@ -127,7 +127,7 @@
 }
 
 // parseSpan reads the ends of a span; an empty one is open.
-func parseSpan(from, to string) (span ctl.Span, err error) {
+func parseSpan(from, to string) (span ctl.TimeRange, err error) {
 	for _, end := range []struct {
 		flag, text string
 		into       *time.Time
--- a/ctl/explain_team.go
+++ b/ctl/explain_team.go
@@ -11,16 +11,16 @@
 	"time"
 )
 
-// Span is a part of a log. A zero end is open.
-type Span struct{ From, To time.Time }
+// TimeRange is a part of a log. A zero end is open.
+type TimeRange struct{ From, To time.Time }
 
-func (s Span) holds(at time.Time) bool {
+func (s TimeRange) holds(at time.Time) bool {
 	return (s.From.IsZero() || !at.Before(s.From)) && (s.To.IsZero() || at.Before(s.To))
 }
 
 // ExplainTeam prints what a team asked for and got in each second, and by whom and why the
 // rest was refused, from the "team" lines of routers and the "share" lines of homes.
-func ExplainTeam(out io.Writer, team string, span Span, in io.Reader) error {
+func ExplainTeam(out io.Writer, team string, span TimeRange, in io.Reader) error {
 	lines, err := readLog(in)
 	if err != nil {
 		return err
@@ -94,7 +94,7 @@
 }
 
 // teamSeconds sums a team's lines up by second.
-func teamSeconds(team string, span Span, lines []logLine) []*teamSecond {
+func teamSeconds(team string, span TimeRange, lines []logLine) []*teamSecond {
 	byTime := map[int64]*teamSecond{}
 	for i := range lines {
 		l := &lines[i]
--- a/router/control.go
+++ b/router/control.go
@@ -24,13 +24,13 @@
 	held    *offered
 	view    *view
 	told    map[string]tell
-	fetched map[string]bundle.Mark
+	fetched map[string]bundle.VersionID
 	leaving bool
 }
 
 // tell is the last word on the bundle that a peer got.
 type tell struct {
-	mark        bundle.Mark
+	mark        bundle.VersionID
 	incarnation uint64
 	at          time.Time
 }
@@ -48,7 +48,7 @@
 		answers:  idempotency.NewAnswers(r.cfg.Idempotency),
 		waiters:  map[sched.RequestID]*waiter{},
 		told:     map[string]tell{},
-		fetched:  map[string]bundle.Mark{},
+		fetched:  map[string]bundle.VersionID{},
 	}
 }
 
@@ -112,8 +112,8 @@
 }
 
 // heard takes in which bundle a peer holds, and fetches it if it is the better.
-func (c *control) heard(peer string, m bundle.Mark) {
-	fetch := c.acceptor.Hear(peer, m)
+func (c *control) heard(peer string, m bundle.VersionID) {
+	fetch := c.acceptor.RecordPeer(peer, m)
 	c.enforce()
 	if fetch && c.fetched[peer] != m {
 		c.fetched[peer] = m
@@ -123,10 +123,10 @@
 
 // offer judges a verified bundle.
 func (c *control) offer(now time.Time, o offered) {
-	m := bundle.Mark{Version: o.bundle.Version, Digest: o.signed.Digest()}
+	m := bundle.VersionID{Version: o.bundle.Version, Digest: o.signed.Digest()}
 	log := c.r.log.With().Uint64("version", m.Version).Str("digest", m.Digest).Str("from", o.from).Logger()
 	switch c.acceptor.Offer(m) {
-	case bundle.Held:
+	case bundle.Accepted:
 		log.Info().Msg("bundle held")
 		c.held = &o
 		c.enforce()
@@ -165,7 +165,7 @@
 	}
 	for _, u := range b.Upstreams {
 		s.Upstreams = append(s.Upstreams, sched.Upstream{
-			ID: u.ID, Pool: poolID[u.Pool], Slots: u.Slots, Draining: !b.TakesWork(u),
+			ID: u.ID, Pool: poolID[u.Pool], Slots: u.Slots, Draining: !b.Schedulable(u),
 		})
 	}
 	return s
@@ -193,7 +193,7 @@
 		}
 	}
 	c.r.mesh.SetAddresses(addresses)
-	c.acceptor.SetList(names)
+	c.acceptor.SetVoters(names)
 	c.node.SetList(now, list)
 	c.enforce()
 }
@@ -212,5 +212,5 @@
 func (c *control) tellPeer(now time.Time, peer string, incarnation uint64) {
 	m := c.acceptor.Latest()
 	c.told[peer] = tell{mark: m, incarnation: incarnation, at: now}
-	c.r.mesh.Notify(peer, methodMark, markMessage{From: c.r.cfg.Name, Mark: m})
+	c.r.mesh.Notify(peer, methodMark, markMessage{From: c.r.cfg.Name, VersionID: m})
 }
--- a/router/dump.go
+++ b/router/dump.go
@@ -10,17 +10,17 @@
 
 // Dump is the whole state of a router process, without secrets.
 type Dump struct {
-	Name          string           `json:"name"`
-	FailureDomain string           `json:"failureDomain"`
-	Ready         bool             `json:"ready"`
-	Watching      bool             `json:"watchingPlatform"`
-	PlatformCalls int64            `json:"platformCalls"`
-	PeerBytes     int64            `json:"peerBytesSent"`
-	PeerMessages  map[string]int64 `json:"peerMessagesSent"`
-	PeerDropped   int64            `json:"peerNotificationsDropped"`
-	Held          bundle.Mark      `json:"bundleHeld"`
-	InForce       bundle.Mark      `json:"bundleInForce"`
-	Conflicts     []bundle.Mark    `json:"bundleConflicts,omitempty"`
+	Name          string             `json:"name"`
+	FailureDomain string             `json:"failureDomain"`
+	Ready         bool               `json:"ready"`
+	Watching      bool               `json:"watchingPlatform"`
+	PlatformCalls int64              `json:"platformCalls"`
+	PeerBytes     int64              `json:"peerBytesSent"`
+	PeerMessages  map[string]int64   `json:"peerMessagesSent"`
+	PeerDropped   int64              `json:"peerNotificationsDropped"`
+	Held          bundle.VersionID   `json:"bundleHeld"`
+	InForce       bundle.VersionID   `json:"bundleInForce"`
+	Conflicts     []bundle.VersionID `json:"bundleConflicts,omitempty"`
 	// HeardMajority is set once most listed VMs have told which bundle they hold.
 	HeardMajority bool                `json:"bundleHeardMajority"`
 	Votes         int                 `json:"votes"`
--- a/router/message.go
+++ b/router/message.go
@@ -40,7 +40,7 @@
 // marked is a peer's word of the bundle that it holds.
 type marked struct {
 	peer string
-	mark bundle.Mark
+	mark bundle.VersionID
 }
 
 // offered is a verified bundle.
--- a/router/peers.go
+++ b/router/peers.go
@@ -28,7 +28,7 @@
 // markMessage is the parameter of methodMark.
 type markMessage struct {
 	From string `json:"from"`
-	bundle.Mark
+	bundle.VersionID
 }
 
 // keyMessage is the parameter of methodVote, methodRelease and methodAnswer.
@@ -62,7 +62,7 @@
 	case methodMark:
 		var m markMessage
 		err := json.Unmarshal(params, &m)
-		return marked{peer: m.From, mark: m.Mark}, err
+		return marked{peer: m.From, mark: m.VersionID}, err
 	case methodRelease:
 		var m keyMessage
 		err := json.Unmarshal(params, &m)
@@ -107,7 +107,7 @@
 
 // fetchBundle gets a bundle that a peer holds. Its signatures are checked like
 // the platform's: a peer is trusted to pass on, not to make.
-func (r *Router) fetchBundle(peer string, m bundle.Mark) {
+func (r *Router) fetchBundle(peer string, m bundle.VersionID) {
 	ctx, done := context.WithTimeout(r.ctx, fetchTimeout)
 	defer done()
 	var signed *bundle.Signed
--- a/router/watch.go
+++ b/router/watch.go
@@ -16,7 +16,7 @@
 // pollVMs reads the platform's list of VMs.
 func (r *Router) pollVMs() {
 	for {
-		list, err := r.platform.VMs(r.ctx)
+		list, err := r.platform.ListVMs(r.ctx)
 		if err != nil {
 			r.log.Warn().Err(err).Msg("list of VMs not read")
 		} else {
@@ -39,7 +39,7 @@
 			}
 			continue
 		}
-		raw, newTag, err := r.platform.Bundle(r.ctx, etag, r.cfg.WatchWait)
+		raw, newTag, err := r.platform.WatchBundle(r.ctx, etag, r.cfg.WatchWait)
 		switch {
 		case err != nil:
 			r.log.Warn().Err(err).Msg("bundle not read")
