--- a/ctl/explain_test.go
+++ b/ctl/explain_test.go
@@ -11,7 +11,7 @@
 )
 
 const sampleLog = `not a line of ours
-10.2 r1 {"level":"warn","process":"r1","event":"platform","time":1000900,"message":"platform lost","age_ms":900}
+10.2 r1 {"level":"warn","process":"r1","event":"platform","time":1000900,"message":"platform unreachable","age_ms":900}
 {"level":"info","process":"r2","event":"config","time":1001000,"message":"configuration in force","version":4}
 {"level":"info","process":"r1","event":"upstream","upstream":"u9","time":1001100,"message":"upstream gone"}
 {"level":"info","process":"r1","event":"upstream","upstream":"u1","time":1001200,"message":"upstream gone"}
@@ -29,7 +29,7 @@
 	g.Expect(ctl.Explain(&out, "abc", strings.NewReader(sampleLog))).To(Succeed())
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	g.Expect(lines).To(HaveLen(4))
-	g.Expect(lines[0]).To(ContainSubstring("platform lost"))
+	g.Expect(lines[0]).To(ContainSubstring("platform unreachable"))
 	g.Expect(lines[1]).To(ContainSubstring("upstream=u1"))
 	g.Expect(lines[2]).To(ContainSubstring("refused by the home"))
 	g.Expect(lines[3]).To(ContainSubstring("cause=unreachable"))
--- a/feed/changelog_test.go
+++ b/feed/changelog_test.go
@@ -15,17 +15,17 @@
 	"github.com/aspenswitch/aspenswitch/routing"
 )
 
-// nowhere is a platform that this test doesn't ask.
-type nowhere struct{}
+// unusedSource is a source whose reads always fail; the test applies changes directly.
+type unusedSource struct{}
 
-func (nowhere) List(context.Context) (Batch, error) { return Batch{}, context.Canceled }
+func (unusedSource) List(context.Context) (Batch, error) { return Batch{}, context.Canceled }
 
-func (nowhere) Watch(context.Context, int64, time.Duration) (Batch, error) {
+func (unusedSource) Watch(context.Context, int64, time.Duration) (Batch, error) {
 	return Batch{}, context.Canceled
 }
 
-// ids are what a router takes for the upstreams that there are.
-func (f *Feed) ids() []string {
+// upstreamRevisions returns the upstreams of the snapshot as sorted "ID@revision" strings.
+func (f *Feed) upstreamRevisions() []string {
 	var all []string
 	for _, u := range f.Snapshot().View.All() {
 		all = append(all, fmt.Sprint(u.ID, "@", u.Revision))
@@ -34,19 +34,18 @@
 	return all
 }
 
-// Routers that learn from a peer get only what has changed since what they have, over
-// one router or two, at any moment, also from one whose memory of changes is too
-// short. If a change were left out, a router would send to an upstream that has left,
-// or never use one that has come.
+// Routers fetch incremental changes from a peer, over one hop or two, at any time and
+// also from a peer whose change log is too short. If a change were missed, a router
+// would send to an upstream that has left, or never use a new one.
 func TestPeersThatGetChangesAloneMissNone(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		clock := func() boottime.Time { return boottime.Time(time.Hour) }
-		one := func() *Feed {
-			return New(DefaultConfig(0, 0), nowhere{}, clock, zerolog.Nop(), func() bool { return false }, func() {})
+		newFeed := func() *Feed {
+			return New(DefaultConfig(0, 0), unusedSource{}, clock, zerolog.Nop(), func() bool { return false }, func() {})
 		}
-		reader, near, far := one(), one(), one()
+		reader, near, far := newFeed(), newFeed(), newFeed()
 		revision := int64(1)
-		reader.apply(Batch{Revision: revision, Changes: []Change{config1(revision)}}, clock())
+		reader.apply(Batch{Revision: revision, Changes: []Change{configChange(revision)}}, clock())
 		live := map[string]bool{}
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			switch rapid.IntRange(0, 5).Draw(rt, "step") {
@@ -69,33 +68,33 @@
 			}
 		}
 		revision++
-		reader.apply(Batch{Revision: revision, Changes: []Change{config1(revision)}}, clock())
+		reader.apply(Batch{Revision: revision, Changes: []Change{configChange(revision)}}, clock())
 		pull(near, reader, clock())
 		pull(far, near, clock())
-		want := reader.ids()
+		want := reader.upstreamRevisions()
 		if len(want) != len(live) {
 			rt.Fatalf("reader has %v, live are %v", want, live)
 		}
 		for name, f := range map[string]*Feed{"near": near, "far": far} {
-			if got := f.ids(); !slices.Equal(got, want) {
+			if got := f.upstreamRevisions(); !slices.Equal(got, want) {
 				rt.Fatalf("%s has %v, the reader %v", name, got, want)
 			}
 		}
 	})
 }
 
-// pull lets one router fetch another's state.
+// pull imports the state of from into to, if from has one.
 func pull(to, from *Feed, now boottime.Time) {
 	from.mu.Lock()
-	known := from.snapshot.Load() != nil && from.table != nil
+	hasState := from.snapshot.Load() != nil && from.table != nil
 	from.mu.Unlock()
-	if !known {
+	if !hasState {
 		return
 	}
 	to.Import(from.Export(to.StateVersion()), now)
 }
 
-// config1 is a configuration; without one a router has no state to give.
-func config1(revision int64) Change {
+// configChange returns a configuration; without one a router has no state to export.
+func configChange(revision int64) Change {
 	return Change{Revision: revision, Config: &routing.Config{Version: revision}}
 }
--- a/feed/config.go
+++ b/feed/config.go
@@ -4,29 +4,29 @@
 
 // Config tunes a Feed.
 type Config struct {
-	// WatchWait is how long one watch waits. A connection that has gone silent
-	// looks like a watch with nothing to tell, so it must be short against
-	// Authority; each watch is a call that the platform counts.
+	// WatchWait is how long one watch waits for changes. An unresponsive connection
+	// looks like a watch without changes, so it must be short compared with
+	// MaxServingAge. Each watch counts as a call to the platform.
 	WatchWait time.Duration
-	// MinInterval is the least time between two watches. A change ends the watch;
-	// where many come together, one more call takes them all.
+	// MinInterval is the minimum time between two watches. A change ends the watch;
+	// the interval batches a burst of changes into one more call.
 	MinInterval time.Duration
-	// CallMargin is how much longer than its wait a call may take. It answers a
+	// CallMargin is how much longer than its wait a call may take. It tolerates a
 	// platform that is sixty times slower than its usual 4 ms.
 	CallMargin time.Duration
-	// MaxFollowerAge is the age of the newest confirmed state from which a router
-	// that relies on its peers reads by itself.
+	// MaxFollowerAge is the age of the newest confirmed state at which a router
+	// that relies on its peers reads the platform itself.
 	MaxFollowerAge time.Duration
-	// MaxServingAge is how long a confirmed state may be acted upon: until then a
-	// key that has been taken away may still be served.
+	// MaxServingAge is the age up to which a confirmed state may be used to serve
+	// requests. Until then a revoked key may still be accepted.
 	MaxServingAge time.Duration
-	// BackoffMin and BackoffMax bound the pause between failed reads.
+	// BackoffMin and BackoffMax bound the delay after a failed read.
 	BackoffMin, BackoffMax time.Duration
 }
 
-// DefaultConfig returns a configuration for keys that must end within revoke of
-// being taken away, and changes that must be in force within apply. 0 means that
-// there is no such bound.
+// DefaultConfig returns a configuration that rejects revoked keys within revoke
+// and applies changes within apply. 0 means that no such bound is required; a
+// default applies then.
 func DefaultConfig(revoke, apply time.Duration) Config {
 	if revoke <= 0 {
 		revoke = 10 * time.Second
@@ -38,12 +38,12 @@
 		WatchWait:   min(apply/5, revoke/6, 3*time.Second),
 		MinInterval: 150 * time.Millisecond,
 		CallMargin:  700 * time.Millisecond,
-		// The routers that read for the others may be cut off from the platform
-		// without a sign. The others must then read by themselves and still be in
-		// time. In good order a view is younger: two waits, and the way over two
-		// routers.
+		// The routers that read on behalf of the others may lose the platform
+		// undetected. The others must then read it themselves and still meet the
+		// bounds. In normal operation a snapshot is younger: two watch waits and
+		// the propagation over two routers.
 		MaxFollowerAge: min(apply*3/4, revoke*6/10),
-		// The last tenth is left for requests that wait in an upstream's queue.
+		// The last tenth is reserved for requests waiting in an upstream's queue.
 		MaxServingAge: revoke * 9 / 10,
 		BackoffMin:    50 * time.Millisecond,
 		BackoffMax:    800 * time.Millisecond,
--- a/feed/doc.go
+++ b/feed/doc.go
@@ -1,8 +1,8 @@
-// Package feed follows what the platform publishes, the configuration and the
-// registered upstreams, and knows how fresh its view is.
+// Package feed maintains a local copy of what the platform publishes, the
+// configuration and the registered upstreams, and tracks its age.
 //
-// A few routers of a failure domain read the platform; the others learn from
-// them. Each state is dated by the moment at which the read that confirmed it
-// was sent, on the clock that counts suspensions, so that no delay on the way
-// makes a view look younger than it is.
+// A few routers of a failure domain read the platform; the others receive the
+// state from them. A state is dated by the time at which the read that confirmed
+// it was sent, on a clock that includes VM suspensions, so that network or
+// processing delays never make it appear younger than it is.
 package feed
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -15,39 +15,42 @@
 	"github.com/aspenswitch/aspenswitch/routing"
 )
 
-// Feed follows a Source. Its methods may be called by many goroutines.
+// Feed maintains a local copy of the state of a Source. It is safe for concurrent
+// use.
 type Feed struct {
 	cfg    Config
 	source Source
 	now    boottime.Clock
 	log    zerolog.Logger
-	// reads reports whether this router is one of those that read the platform.
-	reads func() bool
-	// onChange is told of a new snapshot.
+	// isReader reports whether this router is one of those that read the platform.
+	isReader func() bool
+	// onChange is called after a new snapshot is published.
 	onChange func()
 
 	snapshot atomic.Pointer[Snapshot]
-	// fresh is the moment as of which the snapshot is known to be the newest.
-	fresh atomic.Int64
-	calls atomic.Int64
+	// confirmedAt is the boottime.Time as of which the snapshot was confirmed to be
+	// the newest.
+	confirmedAt atomic.Int64
+	calls       atomic.Int64
 
-	// mu guards what follows.
-	mu       sync.Mutex
-	upstream *registry.Registry
-	changes  changeLog
-	table    *routing.Table
-	revision int64
-	// regained is when the platform answered again after an outage.
-	regained boottime.Time
-	failing  bool
+	// mu guards the fields below.
+	mu        sync.Mutex
+	upstreams *registry.Registry
+	changes   changeLog
+	table     *routing.Table
+	revision  int64
+	// recoveredAt is when the platform first responded after the last outage.
+	recoveredAt boottime.Time
+	failing     bool
 }
 
-// New returns a feed that Run starts.
-func New(cfg Config, source Source, now boottime.Clock, log zerolog.Logger, reads func() bool, onChange func()) *Feed {
-	return &Feed{cfg: cfg, source: source, now: now, log: log, reads: reads, onChange: onChange, upstream: registry.New()}
+// New returns a feed. Run starts it.
+func New(cfg Config, source Source, now boottime.Clock, log zerolog.Logger, isReader func() bool, onChange func()) *Feed {
+	return &Feed{cfg: cfg, source: source, now: now, log: log, isReader: isReader, onChange: onChange, upstreams: registry.New()}
 }
 
-// Snapshot returns the newest state, nil if none is known yet.
+// Snapshot returns the newest snapshot, or nil if no configuration has been
+// received yet.
 func (f *Feed) Snapshot() *Snapshot {
 	s := f.snapshot.Load()
 	if s == nil || s.Table == nil {
@@ -56,13 +59,15 @@
 	return s
 }
 
-// Calls is the number of calls made to the platform.
+// Calls returns the number of calls made to the platform.
 func (f *Feed) Calls() int64 { return f.calls.Load() }
 
-// ConfirmedAt is the moment as of which the snapshot was confirmed, 0 if never.
-func (f *Feed) ConfirmedAt() boottime.Time { return boottime.Time(f.fresh.Load()) }
+// ConfirmedAt returns the time as of which the snapshot was confirmed, or 0 if it
+// never was.
+func (f *Feed) ConfirmedAt() boottime.Time { return boottime.Time(f.confirmedAt.Load()) }
 
-// Age is how long ago the snapshot was confirmed.
+// Age returns the time since the snapshot was confirmed, or one hour if it never
+// was.
 func (f *Feed) Age() time.Duration {
 	at := f.ConfirmedAt()
 	if at == 0 {
@@ -71,96 +76,98 @@
 	return f.now().Sub(at)
 }
 
-// Fresh reports whether the snapshot is fresh enough to act upon.
+// Fresh reports whether the snapshot is recent enough to serve requests from.
 //
-// A key that was taken away must not be served for longer than the operators'
-// bound. A router that no longer hears of changes can't know, so its right to
-// serve keyed requests ends by itself.
+// A revoked key must not be accepted for longer than the bound that the operators
+// set. A router that no longer receives changes can't detect a revocation, so it
+// must stop serving keyed requests once its snapshot exceeds MaxServingAge.
 func (f *Feed) Fresh() bool { return f.Age() < f.cfg.MaxServingAge }
 
-// confirm dates the snapshot; a date only moves forward. One that lies ahead is a
-// fault of whoever gave it, and would keep the right to serve for as long.
+// confirm records that the snapshot was the newest at the given time; the recorded
+// time never decreases. A time in the future is the sender's error and is ignored:
+// it would keep the snapshot fresh for that much longer.
 func (f *Feed) confirm(at boottime.Time) {
 	if now := f.now(); at > now {
-		f.log.Error().Str("event", "peer_state").Dur("ahead", at.Sub(now)).Msg("date in the future left out")
+		f.log.Error().Str("event", "peer_state").Dur("ahead", at.Sub(now)).Msg("ignored a confirmation time in the future")
 		return
 	}
 	for {
-		old := f.fresh.Load()
-		if old >= int64(at) || f.fresh.CompareAndSwap(old, int64(at)) {
+		old := f.confirmedAt.Load()
+		if old >= int64(at) || f.confirmedAt.CompareAndSwap(old, int64(at)) {
 			return
 		}
 	}
 }
 
-// apply takes in changes that a read sent at a moment confirmed as complete up
-// to a revision.
-func (f *Feed) apply(b Batch, sent boottime.Time) {
+// apply applies the changes returned by a read that was sent at sentAt.
+func (f *Feed) apply(b Batch, sentAt boottime.Time) {
 	f.mu.Lock()
 	changed := false
 	for _, c := range b.Changes {
-		changed = f.change(c) || changed
+		changed = f.applyChange(c) || changed
 	}
 	f.revision = max(f.revision, b.Revision)
-	if f.upstream.Expire(f.now()) {
+	if f.upstreams.Expire(f.now()) {
 		changed = true
 	}
 	f.publish(changed)
 	f.mu.Unlock()
-	f.confirm(sent)
+	f.confirm(sentAt)
 	if changed {
 		f.onChange()
 	}
 }
 
-// change takes in one change and reports whether it had an effect.
-func (f *Feed) change(c Change) bool {
+// applyChange applies one change and reports whether it had an effect.
+func (f *Feed) applyChange(c Change) bool {
 	switch {
 	case c.Config != nil:
-		return f.adopt(c.Config)
+		return f.applyConfig(c.Config)
 	case c.Evacuation != nil:
-		f.upstream.RecordEvacuation(f.now(), c.Evacuation.Domain, c.Evacuation.Ended, c.Revision)
+		f.upstreams.RecordEvacuation(f.now(), c.Evacuation.Domain, c.Evacuation.Ended, c.Revision)
 	case c.Upstream != nil:
-		f.upstream.Put(f.now(), *c.Upstream)
+		f.upstreams.Put(f.now(), *c.Upstream)
 		f.changes.add(c.Revision, c.Upstream.ID)
 		f.log.Info().Str("event", "upstream").Str("upstream", c.Upstream.ID).Str("service", c.Upstream.Service).
 			Str("address", c.Upstream.Address).Int64("started", c.Upstream.Started).Bool("draining", c.Upstream.Draining).Int64("warm_up_ms", c.Upstream.WarmUpLeft.Milliseconds()).Int64("revision", c.Revision).Msg("upstream published")
 	default:
-		f.remove(c)
+		f.removeUpstream(c)
 	}
 	return true
 }
 
-// remove takes out an upstream. Around an outage of the platform entries lapse
-// though their upstreams live; those get the time to come back.
-func (f *Feed) remove(c Change) {
+// removeUpstream removes an upstream. Around a platform outage entries lapse although
+// their upstreams are still running; these remain in use for a grace period in which
+// they can register again.
+func (f *Feed) removeUpstream(c Change) {
 	now := f.now()
 	f.changes.add(c.Revision, c.DeletedUpstream)
-	if f.regained != 0 && now.Sub(f.regained) < returnTime {
-		f.upstream.Lapse(c.DeletedUpstream, now.Add(registry.LapseGrace))
+	if f.recoveredAt != 0 && now.Sub(f.recoveredAt) < lapseWindow {
+		f.upstreams.Lapse(c.DeletedUpstream, now.Add(registry.LapseGrace))
 		f.log.Info().Str("event", "upstream").Str("upstream", c.DeletedUpstream).Int64("revision", c.Revision).Msg("upstream lapsed")
 		return
 	}
-	f.upstream.Delete(c.DeletedUpstream, c.Revision)
+	f.upstreams.Delete(c.DeletedUpstream, c.Revision)
 	f.log.Info().Str("event", "upstream").Str("upstream", c.DeletedUpstream).Int64("revision", c.Revision).Msg("upstream gone")
 }
 
 const (
-	// outage is the least time without a confirmed view after which entries may have
-	// lapsed. An upstream lapses after three heartbeats of silence; at the fastest in
-	// use, 1.2 s, the last one before an outage holds 2.4 s into it. After a shorter
-	// failure, or one of this router alone, what is gone has left: with the grace on
-	// top of the time until it is heard of it would get work beyond the two seconds
-	// within which that must end.
-	outage = 2 * time.Second
-	// returnTime is how long after the platform's return entries may still lapse
-	// and come back.
-	returnTime = 2 * time.Second
+	// minOutage is the minimum time without a confirmed state after which entries may
+	// have lapsed. An upstream lapses after three missed heartbeats; at the shortest
+	// heartbeat interval in use, 1.2 s, the last one before an outage stays valid until
+	// 2.4 s into it. After a shorter failure, or one of this router alone, a deleted
+	// entry is an upstream that has left: the grace period on top of the detection
+	// delay would send it requests beyond the two seconds within which they must stop.
+	minOutage = 2 * time.Second
+	// lapseWindow is how long after the platform recovers entries may still lapse
+	// and be registered again.
+	lapseWindow = 2 * time.Second
 )
 
-// adopt puts a newer configuration in force. A version never goes back within
-// one process, whatever a late or stale read says.
-func (f *Feed) adopt(c *routing.Config) bool {
+// applyConfig applies a configuration with a higher version and reports whether it
+// did. The version never decreases within one process, whatever a late or stale
+// read returns.
+func (f *Feed) applyConfig(c *routing.Config) bool {
 	if f.table != nil && f.table.Config.Version >= c.Version {
 		return false
 	}
@@ -170,7 +177,7 @@
 	return true
 }
 
-// publish makes the state visible to readers. The caller holds mu.
+// publish stores a new snapshot of the state. The caller holds mu.
 func (f *Feed) publish(changed bool) {
 	old := f.snapshot.Load()
 	if !changed && old != nil {
@@ -180,12 +187,12 @@
 		f.snapshot.Store(&Snapshot{Table: old.Table, View: old.View, Revision: f.revision})
 		return
 	}
-	s := &Snapshot{Table: f.table, View: f.upstream.View(), Revision: f.revision}
+	s := &Snapshot{Table: f.table, View: f.upstreams.View(), Revision: f.revision}
 	f.logEvacuations(old, s)
 	f.snapshot.Store(s)
 }
 
-// logEvacuations tells which failure domains are being evacuated, whenever that changes.
+// logEvacuations logs the evacuated failure domains if they changed.
 func (f *Feed) logEvacuations(old, s *Snapshot) {
 	var before []string
 	if old != nil {
@@ -197,10 +204,10 @@
 	}
 }
 
-// expire removes upstreams whose grace is over.
+// expire removes lapsed upstreams whose grace period has ended.
 func (f *Feed) expire() {
 	f.mu.Lock()
-	changed := f.upstream.Expire(f.now())
+	changed := f.upstreams.Expire(f.now())
 	if changed {
 		f.publish(true)
 	}
@@ -210,68 +217,69 @@
 	}
 }
 
-// expireEvery is how often lapsed upstreams are looked at; with LapseGrace it is
-// less than the two seconds within which a leaving upstream must get no work.
-const expireEvery = 250 * time.Millisecond
+// expireInterval is how often lapsed upstreams are checked. Together with LapseGrace
+// it stays below the two seconds after which a leaving upstream must get no requests.
+const expireInterval = 250 * time.Millisecond
 
-// expireAll removes upstreams whose grace is over, beside the reads: one that
-// hangs must not keep an upstream in use.
-func (f *Feed) expireAll(ctx context.Context) {
+// runExpiry calls expire periodically until ctx ends. It runs concurrently with the
+// reads, so that a read that hangs can't keep an expired upstream in use.
+func (f *Feed) runExpiry(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause(ctx, expireEvery)
+		sleep(ctx, expireInterval)
 		f.expire()
 	}
 }
 
-// Run follows the platform until ctx ends.
+// Run keeps the state up to date until ctx ends.
 func (f *Feed) Run(ctx context.Context) {
-	go f.expireAll(ctx)
+	go f.runExpiry(ctx)
 	backoff, failures := f.cfg.BackoffMin, 0
 	for ctx.Err() == nil {
-		if f.Snapshot() != nil && !f.reads() && f.Age() < f.cfg.MaxFollowerAge {
-			pause(ctx, f.cfg.MaxFollowerAge/8)
+		if f.Snapshot() != nil && !f.isReader() && f.Age() < f.cfg.MaxFollowerAge {
+			sleep(ctx, f.cfg.MaxFollowerAge/8)
 			continue
 		}
-		began := f.now()
+		readAt := f.now()
 		if f.read(ctx) {
 			backoff, failures = f.cfg.BackoffMin, 0
-			pause(ctx, f.cfg.MinInterval-f.now().Sub(began))
+			sleep(ctx, f.cfg.MinInterval-f.now().Sub(readAt))
 			continue
 		}
-		if failures++; failures >= followerReads && f.follows() {
-			f.awaitPeers(ctx)
+		if failures++; failures >= maxFollowerFailures && f.isFollower() {
+			f.awaitPeerState(ctx)
 			continue
 		}
-		pause(ctx, backoff)
+		sleep(ctx, backoff)
 		backoff = min(2*backoff, f.cfg.BackoffMax)
 	}
 }
 
-// followerReads is how many reads must fail for a router that reads only because its view
-// has grown old to leave it to those whose duty it is. One may be lost on the way; after
-// two the platform is away for this router, and hundreds that go on asking it make
-// thousands of calls in vain.
-const followerReads = 2
+// maxFollowerFailures is the number of consecutive failed reads after which a follower,
+// which reads only because its state is too old, leaves reading to the designated
+// readers. A single read may be lost in the network; after two the platform is
+// unreachable for this router, and hundreds of routers that keep retrying would make
+// thousands of useless calls.
+const maxFollowerFailures = 2
 
-// followerPause is the least time until such a router asks again, and half of the longest:
-// peers tell of the platform's return within a second, and a router that hears none has
-// the duty of reading.
-const followerPause = 4 * time.Second
+// followerBackoff is the minimum time until such a follower reads again, and half of the
+// maximum. It may be long: peers announce the platform's recovery within a second, and a
+// router that receives nothing from peers becomes a reader itself.
+const followerBackoff = 4 * time.Second
 
-// follows reports whether this router relies on its peers.
-func (f *Feed) follows() bool { return f.Snapshot() != nil && !f.reads() }
+// isFollower reports whether this router receives its state from peers.
+func (f *Feed) isFollower() bool { return f.Snapshot() != nil && !f.isReader() }
 
-// awaitPeers waits until peers have told of a fresh view, this router has the duty of
-// reading, or it is time to see whether the platform is back: not the same for all, or the
-// platform would be asked by all at once when it is.
-func (f *Feed) awaitPeers(ctx context.Context) {
-	until := f.now().Add(followerPause + rand.N(followerPause))
-	for ctx.Err() == nil && f.follows() && f.Age() >= f.cfg.MaxFollowerAge && f.now() < until {
-		pause(ctx, f.cfg.MaxFollowerAge/8)
+// awaitPeerState waits until peers have confirmed a recent state, this router becomes a
+// reader, or the backoff ends. The backoff is randomized: otherwise all followers would
+// call the platform at the same time once it recovers.
+func (f *Feed) awaitPeerState(ctx context.Context) {
+	deadline := f.now().Add(followerBackoff + rand.N(followerBackoff))
+	for ctx.Err() == nil && f.isFollower() && f.Age() >= f.cfg.MaxFollowerAge && f.now() < deadline {
+		sleep(ctx, f.cfg.MaxFollowerAge/8)
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/feed/lapse_test.go
+++ b/feed/lapse_test.go
@@ -16,19 +16,19 @@
 	"github.com/aspenswitch/aspenswitch/registry"
 )
 
-// The platform forgets its history while an upstream leaves: no watch ever tells
-// that it has gone. The router lists again and drops what is missing at once: the
-// platform was never away, so nothing lapsed and comes back.
+// The platform truncates its history while an upstream leaves, so no watch reports the
+// deletion. The router must list again and remove missing upstreams immediately: the
+// platform was never unreachable, so none of them lapsed.
 func TestUpstreamThatLeftInAGapOfTheHistoryIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		lists := 0
-		f := start(t, &scripted{
+		f := start(t, &fakeSource{
 			list: func(context.Context) (feed.Batch, error) {
 				lists++
-				b := feed.Batch{Changes: []feed.Change{config(3), up("stays", 2)}, Revision: int64(10 * lists)}
+				b := feed.Batch{Changes: []feed.Change{configChange(3), upstreamChange("stays", 2)}, Revision: int64(10 * lists)}
 				if lists == 1 {
-					b.Changes = append(b.Changes, up("leaves", 3))
+					b.Changes = append(b.Changes, upstreamChange("leaves", 3))
 				}
 				return b, nil
 			},
@@ -36,7 +36,7 @@
 				if lists == 1 {
 					return feed.Batch{}, feed.ErrHistoryGone
 				}
-				return quiet(ctx, after, wait)
+				return watchUnchanged(ctx, after, wait)
 			},
 		})
 		time.Sleep(500 * time.Millisecond)
@@ -45,26 +45,26 @@
 	})
 }
 
-// A router is cut off from the platform for seconds and lives on its peers' word,
-// which is young all the while. Its first read of its own tells that an upstream has
-// left. That is no lapse, since the platform was well: used for the grace on top of
-// the time until it was heard of, the upstream would get work beyond the bound.
+// A router loses the platform for seconds while its peers confirm its state. Its first
+// successful read reports that an upstream has left. Since the platform was healthy,
+// this is no lapse: the grace period on top of the detection delay would send the
+// upstream requests beyond the bound.
 func TestRouterThatWasCutOffDropsWhatLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		begin := time.Now()
 		clock := func() boottime.Time { return boottime.Time(time.Since(begin) + time.Hour) }
 		var cut atomic.Bool
-		f := feed.New(feed.DefaultConfig(revoke, apply), &scripted{
-			list: listing(3, config(3), up("leaves", 2)),
+		f := feed.New(feed.DefaultConfig(revoke, apply), &fakeSource{
+			list: listOf(3, configChange(3), upstreamChange("leaves", 2)),
 			watch: func(ctx context.Context, after int64, wait time.Duration) (feed.Batch, error) {
 				if cut.Load() {
-					return feed.Batch{}, errors.New("no way to the platform")
+					return feed.Batch{}, errors.New("platform unreachable")
 				}
 				if after < 5 {
 					return feed.Batch{Changes: []feed.Change{{Revision: 5, DeletedUpstream: "leaves"}}, Revision: 5}, nil
 				}
-				return quiet(ctx, after, wait)
+				return watchUnchanged(ctx, after, wait)
 			},
 		}, clock, zerolog.Nop(), func() bool { return true }, func() {})
 		cut.Store(true)
@@ -82,12 +82,13 @@
 	})
 }
 
-// One lost connection is no outage: what leaves meanwhile has left.
+// One lost connection is no outage: an upstream deleted meanwhile has left and must be
+// removed immediately.
 func TestShortFailureIsNoOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		calls := 0
-		f := start(t, &scripted{list: listing(3, config(3), up("leaves", 2)), watch: func(ctx context.Context, after int64, wait time.Duration) (feed.Batch, error) {
+		f := start(t, &fakeSource{list: listOf(3, configChange(3), upstreamChange("leaves", 2)), watch: func(ctx context.Context, after int64, wait time.Duration) (feed.Batch, error) {
 			calls++
 			switch calls {
 			case 1:
@@ -95,31 +96,31 @@
 			case 2:
 				return feed.Batch{Changes: []feed.Change{{Revision: 5, DeletedUpstream: "leaves"}}, Revision: 5}, nil
 			}
-			return quiet(ctx, after, wait)
+			return watchUnchanged(ctx, after, wait)
 		}})
 		time.Sleep(500 * time.Millisecond)
 		g.Expect(f.Snapshot().View.Upstream("leaves")).To(BeNil())
 	})
 }
 
-// Around a long outage entries lapse though their upstreams live. Dropped at once
-// they would all be missing until they are back, some two seconds later, and every
-// request would be refused.
+// Around a long outage entries lapse although their upstreams are running. If they were
+// removed immediately, all would be missing until they register again, about two
+// seconds later, and every request would be rejected.
 func TestUpstreamsThatLapsedInAnOutageAreUsedUntilTheyAreBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		begin := time.Now()
-		away := func() bool { at := time.Since(begin); return at > time.Second && at < 6*time.Second }
-		f := start(t, &scripted{list: listing(3, config(3), up("lives", 2), up("leaves", 3)), watch: func(ctx context.Context, after int64, wait time.Duration) (feed.Batch, error) {
+		unreachable := func() bool { at := time.Since(begin); return at > time.Second && at < 6*time.Second }
+		f := start(t, &fakeSource{list: listOf(3, configChange(3), upstreamChange("lives", 2), upstreamChange("leaves", 3)), watch: func(ctx context.Context, after int64, wait time.Duration) (feed.Batch, error) {
 			switch {
-			case away():
-				return feed.Batch{}, errors.New("platform is away")
+			case unreachable():
+				return feed.Batch{}, errors.New("platform unreachable")
 			case time.Since(begin) > 7*time.Second && after < 9:
-				return feed.Batch{Changes: []feed.Change{up("lives", 9)}, Revision: 9}, nil
+				return feed.Batch{Changes: []feed.Change{upstreamChange("lives", 9)}, Revision: 9}, nil
 			case time.Since(begin) > 6*time.Second && after < 6:
 				return feed.Batch{Changes: []feed.Change{{Revision: 5, DeletedUpstream: "lives"}, {Revision: 6, DeletedUpstream: "leaves"}}, Revision: 6}, nil
 			}
-			return quiet(ctx, after, wait)
+			return watchUnchanged(ctx, after, wait)
 		}})
 		for time.Since(begin) < 12*time.Second {
 			time.Sleep(50 * time.Millisecond)
@@ -129,28 +130,28 @@
 	})
 }
 
-// Requests would reach an upstream that has left. Around an outage a deletion is
-// taken for a lapse and gets a grace; a router that learns from this one must
-// end that grace too, though no later change tells it.
+// Around an outage a deletion is treated as a lapse with a grace period. A router that
+// imports this state must end the grace period too, although no later change reports
+// it; otherwise requests would reach an upstream that has left.
 func TestPeersEndTheGraceOfALapsedUpstream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		begin := time.Now()
 		const outage = 3 * time.Second
-		f := start(t, &scripted{list: listing(3, config(3), up("leaves", 2)), watch: func(ctx context.Context, after int64, wait time.Duration) (feed.Batch, error) {
+		f := start(t, &fakeSource{list: listOf(3, configChange(3), upstreamChange("leaves", 2)), watch: func(ctx context.Context, after int64, wait time.Duration) (feed.Batch, error) {
 			switch {
 			case time.Since(begin) < outage:
-				return feed.Batch{}, errors.New("platform is away")
+				return feed.Batch{}, errors.New("platform unreachable")
 			case after < 5:
 				return feed.Batch{Changes: []feed.Change{{Revision: 5, DeletedUpstream: "leaves"}}, Revision: 5}, nil
 			}
-			return quiet(ctx, after, wait)
+			return watchUnchanged(ctx, after, wait)
 		}})
 		time.Sleep(outage + feed.DefaultConfig(revoke, apply).BackoffMax)
-		g.Expect(f.Snapshot().View.Upstream("leaves")).NotTo(BeNil(), "lapsed, still used")
+		g.Expect(f.Snapshot().View.Upstream("leaves")).NotTo(BeNil(), "lapsed, still in use")
 
 		clock := func() boottime.Time { return boottime.Time(time.Since(begin) + time.Hour) }
-		peer := feed.New(feed.DefaultConfig(revoke, apply), &scripted{list: func(ctx context.Context) (feed.Batch, error) { return silent(ctx, 0, 0) }, watch: silent},
+		peer := feed.New(feed.DefaultConfig(revoke, apply), &fakeSource{list: func(ctx context.Context) (feed.Batch, error) { return watchUnanswered(ctx, 0, 0) }, watch: watchUnanswered},
 			clock, zerolog.Nop(), func() bool { return false }, func() {})
 		peer.Import(f.Export(feed.StateVersion{}), clock())
 		ctx, cancel := context.WithCancel(context.Background())
@@ -162,7 +163,7 @@
 	})
 }
 
-// Guards against a router that missed a lapse and goes on using the upstream.
+// Guards against a router that missed a lapse and keeps using the upstream.
 func TestRouterThatMissedALapseLearnsThatTheUpstreamIsGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -171,17 +172,17 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		t.Cleanup(cancel)
 		follower := func() *feed.Feed {
-			away := func(context.Context) (feed.Batch, error) { return feed.Batch{}, errors.New("platform is away") }
-			f := feed.New(feed.DefaultConfig(revoke, apply), &scripted{list: away, watch: quiet}, clock, zerolog.Nop(), func() bool { return false }, func() {})
+			unreachable := func(context.Context) (feed.Batch, error) { return feed.Batch{}, errors.New("platform unreachable") }
+			f := feed.New(feed.DefaultConfig(revoke, apply), &fakeSource{list: unreachable, watch: watchUnchanged}, clock, zerolog.Nop(), func() bool { return false }, func() {})
 			f.Import(&feed.PeerState{
-				Revision: 16, Config: config(3).Config, Upstreams: []registry.Upstream{*up("leaves", 14).Upstream, *up("stays", 2).Upstream},
+				Revision: 16, Config: configChange(3).Config, Upstreams: []registry.Upstream{*upstreamChange("leaves", 14).Upstream, *upstreamChange("stays", 2).Upstream},
 			}, clock())
 			go f.Run(ctx)
 			return f
 		}
 		peer, late := follower(), follower()
 		peer.Import(&feed.PeerState{
-			Revision: 22, Since: 16, Upstreams: []registry.Upstream{*up("leaves", 14).Upstream},
+			Revision: 22, Since: 16, Upstreams: []registry.Upstream{*upstreamChange("leaves", 14).Upstream},
 			Lapsed: map[string]int64{"leaves": int64(registry.LapseGrace)},
 		}, clock())
 		time.Sleep(registry.LapseGrace + time.Second)
--- a/feed/peer.go
+++ b/feed/peer.go
@@ -8,34 +8,35 @@
 	"github.com/aspenswitch/aspenswitch/routing"
 )
 
-// StateVersion is what a router has that asks a peer for its state.
+// StateVersion identifies the state a router holds when it requests a peer's state.
 type StateVersion struct {
 	ConfigVersion int64
 	Revision      int64
 }
 
-// PeerState is a router's state as its peers get it.
+// PeerState is a router's state as sent to its peers.
 type PeerState struct {
 	Revision int64
-	// AgeNanos is how long ago the state was confirmed when it was sent.
+	// AgeNanos is the time in nanoseconds between the confirmation of the state and
+	// its export.
 	AgeNanos int64
-	// Config is left out if the asker has this version.
+	// Config is nil if the requester already has this version.
 	Config *routing.Config
-	// Since, if not 0, is the revision after which Upstreams and Gone tell what has
-	// changed. Else Upstreams are all.
+	// Since, if not 0, is the revision after which Upstreams and Gone list the
+	// changes. If it is 0, Upstreams contains all upstreams.
 	Since     int64 `json:",omitempty"`
 	Upstreams []registry.Upstream
 	Gone      []string `json:",omitempty"`
-	// Lapsed are upstreams whose entries went missing, with the nanoseconds for
-	// which they may still be used. Without them a peer would keep an upstream
-	// that has left until the next change.
+	// Lapsed maps the IDs of lapsed upstreams to the remaining grace period in
+	// nanoseconds. Without it a peer would keep an upstream that has left until
+	// the next change.
 	Lapsed map[string]int64 `json:",omitempty"`
-	// Evacuated are the failure domains that are being evacuated, with the revisions of
-	// the orders. They are always complete.
+	// Evacuated maps the evacuated failure domains to the revisions of the
+	// evacuation orders. It is always complete, also if Since is set.
 	Evacuated map[string]int64 `json:",omitempty"`
 }
 
-// StateVersion is what this router has.
+// StateVersion returns the version of the current state, zero if there is none.
 func (f *Feed) StateVersion() StateVersion {
 	s := f.Snapshot()
 	if s == nil {
@@ -44,10 +45,11 @@
 	return StateVersion{ConfigVersion: s.ConfigVersion(), Revision: s.Revision}
 }
 
-// Export returns the state for a peer. It returns nil if there is none.
-func (f *Feed) Export(have StateVersion) *PeerState {
-	// The date is read before the state: a state that is newer than its date
-	// only looks older than it is.
+// Export returns the state for a peer that holds the known version, or nil if there
+// is none yet.
+func (f *Feed) Export(known StateVersion) *PeerState {
+	// The age is read before the state: a state newer than its age only appears
+	// older than it is.
 	age := f.Age()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -55,32 +57,32 @@
 	if s == nil {
 		return nil
 	}
-	e := &PeerState{Revision: s.Revision, AgeNanos: int64(age), Evacuated: f.upstream.Evacuated()}
-	f.exportUpstreams(e, s, have.Revision)
+	e := &PeerState{Revision: s.Revision, AgeNanos: int64(age), Evacuated: f.upstreams.Evacuated()}
+	f.exportUpstreams(e, s, known.Revision)
 	now := f.now()
-	for id, until := range f.upstream.Lapsed() {
+	for id, expiry := range f.upstreams.Lapsed() {
 		if e.Lapsed == nil {
 			e.Lapsed = map[string]int64{}
 		}
-		e.Lapsed[id] = int64(until.Sub(now))
+		e.Lapsed[id] = int64(expiry.Sub(now))
 	}
-	if s.ConfigVersion() > have.ConfigVersion {
+	if s.ConfigVersion() > known.ConfigVersion {
 		e.Config = s.Table.Config
 	}
 	return e
 }
 
-// exportUpstreams tells a peer what has changed after its revision, or all if that
-// isn't known any more.
-func (f *Feed) exportUpstreams(e *PeerState, s *Snapshot, revision int64) {
-	ids, known := f.changes.since(revision)
-	if !known || revision == 0 {
+// exportUpstreams adds the upstreams changed after the revision since to e, or all
+// upstreams if the change log no longer covers it.
+func (f *Feed) exportUpstreams(e *PeerState, s *Snapshot, since int64) {
+	ids, complete := f.changes.since(since)
+	if !complete || since == 0 {
 		e.Upstreams = s.View.All()
 		return
 	}
-	e.Since = revision
+	e.Since = since
 	for id := range ids {
-		if u, found := f.upstream.Get(id); found {
+		if u, found := f.upstreams.Get(id); found {
 			e.Upstreams = append(e.Upstreams, u)
 		} else {
 			e.Gone = append(e.Gone, id)
@@ -88,36 +90,38 @@
 	}
 }
 
-// Import takes in a peer's state that was asked for at a moment.
-func (f *Feed) Import(e *PeerState, asked boottime.Time) {
+// Import applies a peer's state that was requested at requestedAt. The request time,
+// less the age that the peer reports, becomes the confirmation time.
+func (f *Feed) Import(e *PeerState, requestedAt boottime.Time) {
 	f.mu.Lock()
 	changed := false
 	if e.Config != nil {
-		changed = f.adopt(e.Config)
+		changed = f.applyConfig(e.Config)
 	}
 	if e.Revision > f.revision && f.importUpstreams(e) {
-		for id, left := range e.Lapsed {
-			f.upstream.Lapse(id, asked.Add(time.Duration(left)))
+		for id, remaining := range e.Lapsed {
+			f.upstreams.Lapse(id, requestedAt.Add(time.Duration(remaining)))
 		}
 		f.revision = e.Revision
 		changed = true
 		f.log.Info().Str("event", "peer_state").Int64("revision", e.Revision).Int64("since", e.Since).
-			Int("upstreams", len(e.Upstreams)).Int("gone", len(e.Gone)).Int64("age_ms", e.AgeNanos/1e6).Msg("state taken from a peer")
+			Int("upstreams", len(e.Upstreams)).Int("gone", len(e.Gone)).Int64("age_ms", e.AgeNanos/1e6).Msg("applied state from peer")
 	}
-	// A state that could not be taken in says nothing of the one that is known.
-	newest := e.Revision == f.revision
+	// A state that could not be applied doesn't confirm the current one.
+	upToDate := e.Revision == f.revision
 	f.publish(changed)
 	f.mu.Unlock()
-	if newest {
-		f.confirm(asked - boottime.Time(e.AgeNanos))
+	if upToDate {
+		f.confirm(requestedAt - boottime.Time(e.AgeNanos))
 	}
 	if changed {
 		f.onChange()
 	}
 }
 
-// importUpstreams takes in upstreams. It reports false for changes that don't join
-// what is known: one between them would be missing for good.
+// importUpstreams applies a peer's upstreams. It returns false and applies nothing if
+// the changes start after the current revision: those in between would be lost
+// permanently.
 func (f *Feed) importUpstreams(e *PeerState) bool {
 	now := f.now()
 	if e.Since == 0 {
@@ -125,32 +129,33 @@
 		listed := map[string]bool{}
 		for _, u := range e.Upstreams {
 			listed[u.ID] = true
-			f.upstream.Put(now, u)
+			f.upstreams.Put(now, u)
 		}
-		for _, id := range f.upstream.Missing(listed) {
-			f.upstream.Delete(id, e.Revision)
+		for _, id := range f.upstreams.Missing(listed) {
+			f.upstreams.Delete(id, e.Revision)
 		}
-		f.upstream.ReplaceEvacuations(now, e.Evacuated, e.Revision)
+		f.upstreams.ReplaceEvacuations(now, e.Evacuated, e.Revision)
 		return true
 	}
 	if e.Since > f.revision {
 		return false
 	}
-	f.upstream.ReplaceEvacuations(now, e.Evacuated, e.Revision)
+	f.upstreams.ReplaceEvacuations(now, e.Evacuated, e.Revision)
 	for _, u := range e.Upstreams {
-		f.upstream.Put(now, u)
-		// A lapse has no revision of its own: the entry's is older than the lapse.
+		f.upstreams.Put(now, u)
+		// A lapse has no revision of its own, and the entry's revision is older than
+		// the lapse.
 		f.changes.add(e.Revision, u.ID)
 	}
 	for _, id := range e.Gone {
-		f.upstream.Delete(id, e.Revision)
+		f.upstreams.Delete(id, e.Revision)
 		f.changes.add(e.Revision, id)
 	}
 	return true
 }
 
-// ConfirmRevision takes a peer's word that a revision was the newest as of a moment. It
-// reports whether the peer knows more than this router.
+// ConfirmRevision records a peer's report that revision was the newest at the given
+// time. It returns true if the peer's state is newer than the current one.
 func (f *Feed) ConfirmRevision(revision int64, at boottime.Time) (newer bool) {
 	s := f.snapshot.Load()
 	if s == nil || revision > s.Revision {
--- a/feed/read.go
+++ b/feed/read.go
@@ -8,18 +8,18 @@
 	"github.com/aspenswitch/aspenswitch/boottime"
 )
 
-// read makes one call and reports whether it succeeded.
+// read lists or watches the platform once and reports whether that succeeded.
 func (f *Feed) read(ctx context.Context) bool {
 	f.mu.Lock()
 	after := f.revision
 	failing := f.failing
-	lapsed := len(f.upstream.Lapsed())
+	lapsed := len(f.upstreams.Lapsed())
 	f.mu.Unlock()
 	if after == 0 {
 		return f.list(ctx)
 	}
 	wait := f.cfg.WatchWait
-	// After a failure the state may be old: ask for what there is, at once.
+	// After a failure the state may be old: fetch the pending changes without waiting.
 	if failing {
 		wait = time.Millisecond
 	}
@@ -33,33 +33,34 @@
 	ctx, cancel := context.WithTimeout(ctx, wait+f.cfg.CallMargin)
 	defer cancel()
 	f.calls.Add(1)
-	sent := f.now()
+	sentAt := f.now()
 	b, err := f.source.Watch(ctx, after, wait)
 	if errors.Is(err, ErrHistoryGone) {
-		f.log.Warn().Str("event", "platform").Int64("after", after).Msg("history is gone, listing again")
+		f.log.Warn().Str("event", "platform").Int64("after", after).Msg("history no longer available; listing again")
 		return f.list(ctx)
 	}
 	if err != nil {
-		f.failed(err, sent)
+		f.recordFailure(err, sentAt)
 		return false
 	}
-	f.succeeded()
-	f.apply(b, sent)
+	f.recordSuccess()
+	f.apply(b, sentAt)
 	return true
 }
 
-// list reads everything. What it lacks has gone, or has lapsed in an outage.
+// list reads the full state. Upstreams missing from it have been deleted, or have
+// lapsed during an outage.
 func (f *Feed) list(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, f.cfg.WatchWait+f.cfg.CallMargin)
 	defer cancel()
 	f.calls.Add(1)
-	sent := f.now()
+	sentAt := f.now()
 	b, err := f.source.List(ctx)
 	if err != nil {
-		f.failed(err, sent)
+		f.recordFailure(err, sentAt)
 		return false
 	}
-	f.succeeded()
+	f.recordSuccess()
 	f.mu.Lock()
 	listed := make(map[string]bool, len(b.Changes))
 	evacuated := map[string]int64{}
@@ -71,31 +72,33 @@
 			evacuated[c.Evacuation.Domain] = c.Revision
 		}
 	}
-	f.upstream.ReplaceEvacuations(sent, evacuated, b.Revision)
-	for _, id := range f.upstream.Missing(listed) {
-		f.remove(Change{DeletedUpstream: id, Revision: b.Revision})
+	f.upstreams.ReplaceEvacuations(sentAt, evacuated, b.Revision)
+	for _, id := range f.upstreams.Missing(listed) {
+		f.removeUpstream(Change{DeletedUpstream: id, Revision: b.Revision})
 	}
-	// What went missing before the listing has no revision that tells of it.
+	// The revisions of deletions before the listing are unknown, so the change log
+	// can't cover them.
 	f.changes.reset(b.Revision)
 	f.mu.Unlock()
-	f.apply(b, sent)
+	f.apply(b, sentAt)
 	return true
 }
 
-// failed notes that the platform didn't answer.
-func (f *Feed) failed(err error, sent boottime.Time) {
+// recordFailure marks the platform as failing.
+func (f *Feed) recordFailure(err error, sentAt boottime.Time) {
 	f.mu.Lock()
-	first := !f.failing
+	firstFailure := !f.failing
 	f.failing = true
 	f.mu.Unlock()
-	if first {
-		f.log.Warn().Str("event", "platform").Err(err).Dur("after", f.now().Sub(sent)).
-			Dur("age", f.Age()).Msg("platform lost")
+	if firstFailure {
+		f.log.Warn().Str("event", "platform").Err(err).Dur("after", f.now().Sub(sentAt)).
+			Dur("age", f.Age()).Msg("platform unreachable")
 	}
 }
 
-// succeeded notes that the platform answers.
-func (f *Feed) succeeded() {
+// recordSuccess marks the platform as reachable. After an outage it starts the window
+// in which deletions are treated as lapses.
+func (f *Feed) recordSuccess() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.failing {
@@ -103,8 +106,8 @@
 	}
 	f.failing = false
 	age := f.Age()
-	if age >= outage {
-		f.regained = f.now()
+	if age >= minOutage {
+		f.recoveredAt = f.now()
 	}
-	f.log.Info().Str("event", "platform").Dur("age", age).Msg("platform regained")
+	f.log.Info().Str("event", "platform").Dur("age", age).Msg("platform reachable again")
 }
--- a/feed/snapshot.go
+++ b/feed/snapshot.go
@@ -5,14 +5,14 @@
 	"github.com/aspenswitch/aspenswitch/routing"
 )
 
-// Snapshot is everything published as of a revision. It isn't changed once made.
+// Snapshot is the state published as of a revision. It is immutable.
 type Snapshot struct {
 	Table    *routing.Table
 	View     *registry.View
 	Revision int64
 }
 
-// ConfigVersion is the configuration's version, 0 if none is known.
+// ConfigVersion returns the version of the configuration, or 0 if there is none.
 func (s *Snapshot) ConfigVersion() int64 {
 	if s == nil || s.Table == nil {
 		return 0
--- a/feed/source.go
+++ b/feed/source.go
@@ -13,27 +13,28 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("feed")
 
-// ErrHistoryGone is a watch from a revision that the platform no longer has.
-var ErrHistoryGone = errs.New("feed: the history after this revision is gone")
+// ErrHistoryGone is returned by a watch from a revision whose history the platform no
+// longer keeps.
+var ErrHistoryGone = errs.New("feed: history after this revision is no longer available")
 
 // Source reads what operators and upstreams publish. All reads are linearizable.
 type Source interface {
-	// List reads everything. Changes made while it runs have a revision above
-	// the batch's and may or may not be in it.
+	// List reads the full state. Changes made while it runs have a revision above
+	// the batch's and may or may not be included.
 	List(ctx context.Context) (Batch, error)
-	// Watch waits for changes after a revision, for wait at most.
+	// Watch returns the changes after a revision, waiting for them for at most wait.
 	Watch(ctx context.Context, after int64, wait time.Duration) (Batch, error)
 }
 
-// Batch is what a read returned.
+// Batch is the result of a read.
 type Batch struct {
 	Changes []Change
-	// Revision is the platform's up to which the changes are complete.
+	// Revision is the platform revision up to which the changes are complete.
 	Revision int64
 }
 
-// Change is one entry as it was published. Exactly one of the pointers and
-// Gone is set.
+// Change is one published entry. Exactly one of the pointers and DeletedUpstream is
+// set.
 type Change struct {
 	Revision int64
 	Config   *routing.Config
@@ -44,9 +45,10 @@
 	Evacuation *Evacuation
 }
 
-// Evacuation is an operator's order to send nothing to the upstreams of a failure domain.
+// Evacuation is an operator's order to send no requests to the upstreams of a failure
+// domain.
 type Evacuation struct {
 	Domain string
-	// Ended is set if the order was withdrawn.
+	// Ended is true if the order was withdrawn.
 	Ended bool
 }
--- a/membership/home.go
+++ b/membership/home.go
@@ -6,11 +6,11 @@
 // weight) hashing (Thaler and Ravishankar, 1998). When a VM goes, only what it
 // was the home of moves. It returns "" for an empty list.
 func Home(live []string, key string) string {
-	home, best := "", uint64(0)
+	home, highest := "", uint64(0)
 	for _, name := range live {
 		weight := xxhash.Sum64String(name + "\x00" + key)
-		if home == "" || weight > best || (weight == best && name < home) {
-			home, best = name, weight
+		if home == "" || weight > highest || (weight == highest && name < home) {
+			home, highest = name, weight
 		}
 	}
 	return home
--- a/membership/member.go
+++ b/membership/member.go
@@ -16,8 +16,8 @@
 type member struct {
 	listed  bool
 	leaving bool
-	// said is set when the VM itself told that it shuts down.
-	said        bool
-	incarnation uint64
-	heardAt     time.Time
+	// announcedLeave is set when the VM itself told that it shuts down.
+	announcedLeave bool
+	incarnation    uint64
+	lastMessageAt  time.Time
 }
--- a/membership/view.go
+++ b/membership/view.go
@@ -35,7 +35,7 @@
 		m.leaving = l.Leaving
 	}
 	maps.DeleteFunc(v.members, func(_ string, m *member) bool {
-		return !m.listed && m.heardAt.IsZero()
+		return !m.listed && m.lastMessageAt.IsZero()
 	})
 }
 
@@ -54,11 +54,11 @@
 	m := v.member(name)
 	changed := m.incarnation != incarnation
 	if changed {
-		m.said = false
+		m.announcedLeave = false
 	}
 	m.incarnation = incarnation
-	m.heardAt = now
-	m.said = m.said || leaving
+	m.lastMessageAt = now
+	m.announcedLeave = m.announcedLeave || leaving
 	return changed
 }
 
@@ -81,7 +81,7 @@
 		live = append(live, v.self)
 	}
 	for name, m := range v.members {
-		if v.heard(now, m) && !m.said && !m.leaving {
+		if v.isReachable(now, m) && !m.announcedLeave && !m.leaving {
 			live = append(live, name)
 		}
 	}
@@ -89,21 +89,21 @@
 	return live
 }
 
-func (v *View) heard(now time.Time, m *member) bool {
-	return !m.heardAt.IsZero() && now.Sub(m.heardAt) <= v.suspectAfter
+func (v *View) isReachable(now time.Time, m *member) bool {
+	return !m.lastMessageAt.IsZero() && now.Sub(m.lastMessageAt) <= v.suspectAfter
 }
 
 // Reachable reports whether the VM was heard lately, leaving or not.
 func (v *View) Reachable(now time.Time, name string) bool {
 	m, ok := v.members[name]
-	return ok && v.heard(now, m)
+	return ok && v.isReachable(now, m)
 }
 
 // Peers returns every other VM that is listed or was heard lately, sorted.
 func (v *View) Peers(now time.Time) []string {
 	var peers []string
 	for name, m := range v.members {
-		if m.listed || v.heard(now, m) {
+		if m.listed || v.isReachable(now, m) {
 			peers = append(peers, name)
 		}
 	}
@@ -114,16 +114,16 @@
 // CountListed returns how many of the listed VMs are heard, and how many are
 // listed, this one in both. They differ during a partition and, until the list
 // catches up, after a crash.
-func (v *View) CountListed(now time.Time) (visible, listed int) {
-	visible, listed = 1, 1
+func (v *View) CountListed(now time.Time) (reachable, listed int) {
+	reachable, listed = 1, 1
 	for _, m := range v.members {
-		if !m.listed || m.leaving || m.said {
+		if !m.listed || m.leaving || m.announcedLeave {
 			continue
 		}
 		listed++
-		if v.heard(now, m) {
-			visible++
+		if v.isReachable(now, m) {
+			reachable++
 		}
 	}
-	return visible, listed
+	return reachable, listed
 }
--- a/obs/async.go
+++ b/obs/async.go
@@ -10,21 +10,21 @@
 // reads would else block the requests that write lines; here lines are dropped
 // and counted.
 type AsyncWriter struct {
-	to      io.Writer
+	out     io.Writer
 	mu      sync.Mutex
 	pending []byte
-	wake    chan struct{}
-	end     chan struct{}
+	notify  chan struct{}
+	stop    chan struct{}
 	done    chan struct{}
 	dropped atomic.Int64
 }
 
-// maxPending bounds the memory of lines that wait: some two hundred.
-const maxPending = 64 << 10
+// maxPendingBytes bounds the memory of lines that wait: some two hundred.
+const maxPendingBytes = 64 << 10
 
 // NewAsyncWriter returns a writer that passes lines on to w until Close.
 func NewAsyncWriter(w io.Writer) *AsyncWriter {
-	a := &AsyncWriter{to: w, wake: make(chan struct{}, 1), end: make(chan struct{}), done: make(chan struct{})}
+	a := &AsyncWriter{out: w, notify: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{})}
 	go a.run()
 	return a
 }
@@ -32,7 +32,7 @@
 // Write implements io.Writer. It never blocks and never fails.
 func (a *AsyncWriter) Write(line []byte) (int, error) {
 	a.mu.Lock()
-	if len(a.pending)+len(line) > maxPending {
+	if len(a.pending)+len(line) > maxPendingBytes {
 		a.mu.Unlock()
 		a.dropped.Add(1)
 		return len(line), nil
@@ -40,7 +40,7 @@
 	a.pending = append(a.pending, line...)
 	a.mu.Unlock()
 	select {
-	case a.wake <- struct{}{}:
+	case a.notify <- struct{}{}:
 	default:
 	}
 	return len(line), nil
@@ -52,23 +52,23 @@
 func (a *AsyncWriter) run() {
 	defer close(a.done)
 	var lines []byte
-	for ended := false; !ended; {
+	for stopped := false; !stopped; {
 		select {
-		case <-a.wake:
-		case <-a.end:
-			ended = true
+		case <-a.notify:
+		case <-a.stop:
+			stopped = true
 		}
 		a.mu.Lock()
 		lines, a.pending = a.pending, lines[:0]
 		a.mu.Unlock()
 		// A log that can't be written has nowhere to say so.
-		_, _ = a.to.Write(lines)
+		_, _ = a.out.Write(lines)
 	}
 }
 
 // Close writes what is pending and ends. Lines written later are lost.
 func (a *AsyncWriter) Close() error {
-	close(a.end)
+	close(a.stop)
 	<-a.done
 	return nil
 }
--- a/obs/async_test.go
+++ b/obs/async_test.go
@@ -12,25 +12,25 @@
 	"github.com/aspenswitch/aspenswitch/obs"
 )
 
-// stuck is a pipe that nobody reads until it is released.
-type stuck struct {
+// blockedPipe is a pipe that nobody reads until it is released.
+type blockedPipe struct {
 	release chan struct{}
 	mu      sync.Mutex
-	got     bytes.Buffer
+	written bytes.Buffer
 }
 
-func (s *stuck) Write(b []byte) (int, error) {
+func (s *blockedPipe) Write(b []byte) (int, error) {
 	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.got.Write(b)
+	return s.written.Write(b)
 }
 
 // Requests would wait for a reader of the log. Nobody reads the pipe: lines are
 // kept up to a bound, then dropped and counted; none blocks.
 func TestStuckPipeBlocksNobody(t *testing.T) {
 	g := NewWithT(t)
-	out := &stuck{release: make(chan struct{})}
+	out := &blockedPipe{release: make(chan struct{})}
 	a := obs.NewAsyncWriter(out)
 	line := bytes.Repeat([]byte("x"), 1000)
 	done := make(chan struct{})
--- a/obs/limited.go
+++ b/obs/limited.go
@@ -14,42 +14,42 @@
 // a request would cost more processor time than it explains; kinds have budgets
 // of their own, so that lines of success don't displace those of failure.
 type LimitedLogger struct {
-	log     zerolog.Logger
-	perKind int
-	mu      sync.Mutex
-	kinds   map[string]*kindCount
+	log            zerolog.Logger
+	linesPerSecond int
+	mu             sync.Mutex
+	kinds          map[string]*kindCounter
 }
 
-type kindCount struct {
+type kindCounter struct {
 	second  int64
 	lines   int
 	omitted int
 }
 
 // NewLimitedLogger returns a log with a budget of lines a second for each kind.
-func NewLimitedLogger(log zerolog.Logger, perKind int) *LimitedLogger {
-	return &LimitedLogger{log: log, perKind: perKind, kinds: map[string]*kindCount{}}
+func NewLimitedLogger(log zerolog.Logger, linesPerSecond int) *LimitedLogger {
+	return &LimitedLogger{log: log, linesPerSecond: linesPerSecond, kinds: map[string]*kindCounter{}}
 }
 
 // Info writes a line of a kind within its budget.
 func (l *LimitedLogger) Info(kind string, write func(*Event)) {
-	l.line(kind, zerolog.InfoLevel, l.perKind, write)
+	l.logLine(kind, zerolog.InfoLevel, l.linesPerSecond, write)
 }
 
 // Warn writes a line of a kind that explains a failure. Its budget is four
 // times that of other lines.
 func (l *LimitedLogger) Warn(kind string, write func(*Event)) {
-	l.line(kind, zerolog.WarnLevel, 4*l.perKind, write)
+	l.logLine(kind, zerolog.WarnLevel, 4*l.linesPerSecond, write)
 }
 
-// line writes within the budget. The line after an omission tells how many of
+// logLine writes within the budget. The logLine after an omission tells how many of
 // its kind were left out.
-func (l *LimitedLogger) line(kind string, level zerolog.Level, budget int, write func(*Event)) {
+func (l *LimitedLogger) logLine(kind string, level zerolog.Level, budget int, write func(*Event)) {
 	second := time.Now().Unix()
 	l.mu.Lock()
 	k := l.kinds[kind]
 	if k == nil {
-		k = &kindCount{}
+		k = &kindCounter{}
 		l.kinds[kind] = k
 	}
 	if k.second != second {
--- a/obs/metrics.go
+++ b/obs/metrics.go
@@ -10,8 +10,8 @@
 	"github.com/uber-go/tally/v4/prometheus"
 )
 
-// reportEvery is how often the scope hands its values to the reporter.
-const reportEvery = time.Second
+// reportInterval is how often the scope hands its values to the reporter.
+const reportInterval = time.Second
 
 // Metrics are a process's counters, with the handler that serves them as text.
 type Metrics struct {
@@ -29,7 +29,7 @@
 		CachedReporter:  reporter,
 		Separator:       prometheus.DefaultSeparator,
 		SanitizeOptions: &prometheus.DefaultSanitizerOpts,
-	}, reportEvery)
+	}, reportInterval)
 	return &Metrics{Scope: scope, Handler: reporter.HTTPHandler(), closer: closer}
 }
 
--- a/peer/codec.go
+++ b/peer/codec.go
@@ -18,13 +18,13 @@
 
 // stream frames messages by their length and flushes the compressor after each.
 type stream struct {
-	conn  *flateConn
-	in    *bufio.Reader
-	codec jsonrpc2.VarintObjectCodec
+	conn   *flateConn
+	reader *bufio.Reader
+	codec  jsonrpc2.VarintObjectCodec
 }
 
 func newStream(conn *flateConn) *stream {
-	return &stream{conn: conn, in: bufio.NewReader(conn)}
+	return &stream{conn: conn, reader: bufio.NewReader(conn)}
 }
 
 // WriteObject is called by one goroutine at a time.
@@ -37,7 +37,7 @@
 
 // ReadObject reads the next message.
 func (s *stream) ReadObject(v any) error {
-	size, err := binary.ReadUvarint(s.in)
+	size, err := binary.ReadUvarint(s.reader)
 	if err != nil {
 		return err
 	}
@@ -45,7 +45,7 @@
 		return Error.New("message of %d bytes, at most %d are taken", size, maxMessage)
 	}
 	data := make([]byte, size)
-	if _, err := io.ReadFull(s.in, data); err != nil {
+	if _, err := io.ReadFull(s.reader, data); err != nil {
 		return err
 	}
 	return json.Unmarshal(data, v)
--- a/peer/conn.go
+++ b/peer/conn.go
@@ -14,13 +14,13 @@
 // later.
 type deadlineConn struct {
 	net.Conn
-	read, write time.Duration
-	sent        *atomic.Int64
+	readTimeout, writeTimeout time.Duration
+	bytesSent                 *atomic.Int64
 }
 
 func (c *deadlineConn) Read(p []byte) (int, error) {
-	if c.read > 0 {
-		if err := c.SetReadDeadline(time.Now().Add(c.read)); err != nil {
+	if c.readTimeout > 0 {
+		if err := c.SetReadDeadline(time.Now().Add(c.readTimeout)); err != nil {
 			return 0, err
 		}
 	}
@@ -28,11 +28,11 @@
 }
 
 func (c *deadlineConn) Write(p []byte) (int, error) {
-	if err := c.SetWriteDeadline(time.Now().Add(c.write)); err != nil {
+	if err := c.SetWriteDeadline(time.Now().Add(c.writeTimeout)); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Write(p)
-	c.sent.Add(int64(n))
+	c.bytesSent.Add(int64(n))
 	return n, err
 }
 
--- a/peer/link.go
+++ b/peer/link.go
@@ -61,7 +61,7 @@
 	}
 	if err != nil {
 		l.mesh.cfg.Log.Debug().Err(err).Str("peer", l.name).Msg("notification lost")
-		l.drop(conn)
+		l.discard(conn)
 	}
 }
 
@@ -99,8 +99,8 @@
 	return conn, Error.Wrap(err)
 }
 
-// drop forgets a connection that failed.
-func (l *link) drop(conn *jsonrpc2.Conn) {
+// discard forgets a connection that failed.
+func (l *link) discard(conn *jsonrpc2.Conn) {
 	if conn == nil {
 		return
 	}
@@ -143,10 +143,10 @@
 	if ctx.Err() != nil {
 		// An answer that does not come may be a silent connection: the next call
 		// gets a new one.
-		l.drop(conn)
+		l.discard(conn)
 	}
 	return Error.Wrap(err)
 }
 
-// callTimeout bounds calls whose context has no deadline.
-const callTimeout = 2 * time.Second
+// defaultCallTimeout bounds calls whose context has no deadline.
+const defaultCallTimeout = 2 * time.Second
--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -15,17 +15,17 @@
 
 // Mesh is a router's connections to all its peers.
 type Mesh struct {
-	cfg      Config
-	listener net.Listener
-	ctx      context.Context
-	cancel   context.CancelFunc
-	wg       sync.WaitGroup
-	sent     atomic.Int64
-	dropped  atomic.Int64
-	mu       sync.Mutex
-	closed   bool
-	links    map[string]*link
-	byMethod map[string]int64
+	cfg                  Config
+	listener             net.Listener
+	ctx                  context.Context
+	cancel               context.CancelFunc
+	wg                   sync.WaitGroup
+	bytesSent            atomic.Int64
+	notificationsDropped atomic.Int64
+	mu                   sync.Mutex
+	closed               bool
+	links                map[string]*link
+	messagesSent         map[string]int64
 }
 
 // NewMesh returns a mesh that accepts peers on the listener. Serve starts it.
@@ -34,7 +34,7 @@
 		l = tls.NewListener(l, cfg.ServerTLS)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	return &Mesh{cfg: cfg, listener: l, ctx: ctx, cancel: cancel, links: map[string]*link{}, byMethod: map[string]int64{}}
+	return &Mesh{cfg: cfg, listener: l, ctx: ctx, cancel: cancel, links: map[string]*link{}, messagesSent: map[string]int64{}}
 }
 
 // Serve accepts peers until Close.
@@ -44,16 +44,16 @@
 		if err != nil {
 			return
 		}
-		if !m.begin(func() { m.accept(conn) }) {
+		if !m.startGoroutine(func() { m.accept(conn) }) {
 			_ = conn.Close()
 			return
 		}
 	}
 }
 
-// begin starts a goroutine that Close waits for. It reports false after Close:
+// startGoroutine starts a goroutine that Close waits for. It reports false after Close:
 // a goroutine that began then would go on after the router is gone.
-func (m *Mesh) begin(f func()) bool {
+func (m *Mesh) startGoroutine(f func()) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.closed {
@@ -75,17 +75,17 @@
 // serve starts JSON-RPC on a connection; h is nil on outgoing ones, which carry
 // only this side's messages.
 func (m *Mesh) serve(ctx context.Context, raw net.Conn, h Handler) (*jsonrpc2.Conn, error) {
-	bounded := &deadlineConn{Conn: raw, write: m.cfg.WriteTimeout, sent: &m.sent}
+	bounded := &deadlineConn{Conn: raw, writeTimeout: m.cfg.WriteTimeout, bytesSent: &m.bytesSent}
 	if h != nil {
-		bounded.read = m.cfg.ReadTimeout
+		bounded.readTimeout = m.cfg.ReadTimeout
 	}
 	compressed, err := newFlateConn(bounded)
 	if err != nil {
 		_ = raw.Close()
 		return nil, err
 	}
-	quiet := jsonrpc2.SetLogger(log.New(io.Discard, "", 0))
-	return jsonrpc2.NewConn(ctx, newStream(compressed), &dispatcher{handler: h}, quiet), nil
+	discardLogs := jsonrpc2.SetLogger(log.New(io.Discard, "", 0))
+	return jsonrpc2.NewConn(ctx, newStream(compressed), &dispatcher{handler: h}, discardLogs), nil
 }
 
 // SetAddresses names the peers and where they listen. Peers that are gone lose
@@ -123,11 +123,11 @@
 	if l == nil {
 		return
 	}
-	m.count(method)
+	m.countMessage(method)
 	select {
 	case l.queue <- notification{method: method, params: params}:
 	default:
-		m.dropped.Add(1)
+		m.notificationsDropped.Add(1)
 	}
 }
 
@@ -137,10 +137,10 @@
 	if l == nil {
 		return Error.New("no peer is named %q", to)
 	}
-	m.count(method)
+	m.countMessage(method)
 	if _, ok := ctx.Deadline(); !ok {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, callTimeout)
+		ctx, cancel = context.WithTimeout(ctx, defaultCallTimeout)
 		defer cancel()
 	}
 	return l.call(ctx, method, params, result)
@@ -154,23 +154,23 @@
 }
 
 // BytesSent is the number of bytes sent to peers, compressed, without TLS.
-func (m *Mesh) BytesSent() int64 { return m.sent.Load() }
+func (m *Mesh) BytesSent() int64 { return m.bytesSent.Load() }
 
 // MessagesSent is the number of messages to peers by method.
 func (m *Mesh) MessagesSent() map[string]int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return maps.Clone(m.byMethod)
+	return maps.Clone(m.messagesSent)
 }
 
-func (m *Mesh) count(method string) {
+func (m *Mesh) countMessage(method string) {
 	m.mu.Lock()
-	m.byMethod[method]++
+	m.messagesSent[method]++
 	m.mu.Unlock()
 }
 
 // NotificationsDropped is the number of notifications dropped because a queue was full.
-func (m *Mesh) NotificationsDropped() int64 { return m.dropped.Load() }
+func (m *Mesh) NotificationsDropped() int64 { return m.notificationsDropped.Load() }
 
 // Close ends all connections and waits for their goroutines.
 func (m *Mesh) Close() {
--- a/peer/mesh_test.go
+++ b/peer/mesh_test.go
@@ -21,15 +21,15 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		address := l.Addr().String()
 		m := peer.NewMesh(peer.DefaultConfig(nil, zerolog.Nop()), l)
-		var beside sync.WaitGroup
-		beside.Go(m.Serve)
-		beside.Go(func() { m.SetAddresses(map[string]string{"a": address}) })
-		beside.Go(func() {
+		var wg sync.WaitGroup
+		wg.Go(m.Serve)
+		wg.Go(func() { m.SetAddresses(map[string]string{"a": address}) })
+		wg.Go(func() {
 			if c, err := net.Dial("tcp", address); err == nil {
 				_ = c.Close()
 			}
 		})
 		m.Close()
-		beside.Wait()
+		wg.Wait()
 	}
 }
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -41,25 +41,25 @@
 // Client sends requests to upstreams.
 type Client struct {
 	cfg Config
-	// pooled keeps connections; fresh opens one for each request.
-	pooled, fresh *http.Transport
+	// pooled keeps connections; unpooled opens one for each request.
+	pooled, unpooled *http.Transport
 }
 
 // NewClient returns a client.
 func NewClient(cfg Config) *Client {
-	return &Client{cfg: cfg, pooled: newTransport(cfg, false), fresh: newTransport(cfg, true)}
+	return &Client{cfg: cfg, pooled: newTransport(cfg, false), unpooled: newTransport(cfg, true)}
 }
 
-// idlePerUpstream is how many connections wait for reuse.
-const idlePerUpstream = 64
+// maxIdlePerUpstream is how many connections wait for reuse.
+const maxIdlePerUpstream = 64
 
-func newTransport(cfg Config, fresh bool) *http.Transport {
+func newTransport(cfg Config, disableReuse bool) *http.Transport {
 	dialer := &net.Dialer{Timeout: cfg.DialTimeout, KeepAliveConfig: cfg.KeepAlive}
 	return &http.Transport{
 		DialContext:           dialer.DialContext,
 		DisableCompression:    true,
-		DisableKeepAlives:     fresh,
-		MaxIdleConnsPerHost:   idlePerUpstream,
+		DisableKeepAlives:     disableReuse,
+		MaxIdleConnsPerHost:   maxIdlePerUpstream,
 		IdleConnTimeout:       30 * time.Second,
 		ResponseHeaderTimeout: cfg.HeaderTimeout,
 	}
@@ -95,7 +95,7 @@
 func (c *Client) Do(req *http.Request, repeatable bool) (*http.Response, error) {
 	transport := c.pooled
 	if !repeatable {
-		transport = c.fresh
+		transport = c.unpooled
 	}
 	var sent atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }}
@@ -112,7 +112,7 @@
 // Close ends idle connections.
 func (c *Client) Close() {
 	c.pooled.CloseIdleConnections()
-	c.fresh.CloseIdleConnections()
+	c.unpooled.CloseIdleConnections()
 }
 
 // NotSent reports whether err says that the request can't have left.
--- a/upstream/exchange.go
+++ b/upstream/exchange.go
@@ -41,38 +41,38 @@
 	resp       *http.Response
 	stop       func() bool
 	// written is closed once the whole request has been written.
-	written chan struct{}
-	clean   bool
-	closed  bool
+	written  chan struct{}
+	complete bool
+	closed   bool
 }
 
 // ErrMismatchedResponse is an answer that belongs to another request.
 var ErrMismatchedResponse = errors.New("upstream: the answer is to another request")
 
-// maxForeign is how many answers to other requests are passed over. Upstreams
+// maxMismatched is how many answers to other requests are passed over. Upstreams
 // may repeat one answer; more are a sign that the connection is out of step.
-const maxForeign = 2
+const maxMismatched = 2
 
-// largeBody is written beside reading: an upstream may answer before it has
+// maxInlineBody is written beside reading: an upstream may answer before it has
 // read a long body, and both sides' windows are small.
-const largeBody = 16 << 10
+const maxInlineBody = 16 << 10
 
 // Do sends a call. An error is always a *Failure, which tells whether any of
 // the request can have left. When ctx ends, the connection is closed, which
 // cancels the request at the upstream.
-func (p *Pool) Do(ctx context.Context, call *Request) (*Response, error) {
+func (p *Pool) Do(ctx context.Context, request *Request) (*Response, error) {
 	maxIdle := p.cfg.MaxIdleNonRepeatable
-	if call.Repeatable {
+	if request.Repeatable {
 		maxIdle = time.Hour
 	}
 	for {
-		c, err := p.get(ctx, call, maxIdle)
+		c, err := p.get(ctx, request, maxIdle)
 		if err != nil {
 			return nil, &RequestError{Cause: err}
 		}
-		a, err := p.exchange(ctx, c, call)
+		resp, err := p.exchange(ctx, c, request)
 		if err == nil {
-			return a, nil
+			return resp, nil
 		}
 		_ = c.Close()
 		// An idle connection that broke before a byte left says nothing of the
@@ -84,65 +84,65 @@
 	}
 }
 
-func (p *Pool) exchange(ctx context.Context, c *poolConn, call *Request) (*Response, error) {
-	a := &Response{conn: c, pool: p, written: make(chan struct{})}
-	a.stop = context.AfterFunc(ctx, func() { _ = c.Close() })
-	if err := a.write(c, call); err != nil {
-		a.stop()
+func (p *Pool) exchange(ctx context.Context, c *poolConn, request *Request) (*Response, error) {
+	r := &Response{conn: c, pool: p, written: make(chan struct{})}
+	r.stop = context.AfterFunc(ctx, func() { _ = c.Close() })
+	if err := r.write(c, request); err != nil {
+		r.stop()
 		return nil, err
 	}
-	resp, err := readAnswer(c, call)
+	resp, err := readResponse(c, request)
 	if err != nil {
-		a.stop()
+		r.stop()
 		return nil, &RequestError{Sent: true, Cause: err}
 	}
-	a.resp = resp
-	a.Status, a.Header, a.BodyLength, a.body = resp.StatusCode, resp.Header, resp.ContentLength, resp.Body
-	return a, nil
+	r.resp = resp
+	r.Status, r.Header, r.BodyLength, r.body = resp.StatusCode, resp.Header, resp.ContentLength, resp.Body
+	return r, nil
 }
 
 // write sends the head and the body.
-func (a *Response) write(c *poolConn, call *Request) error {
+func (r *Response) write(c *poolConn, request *Request) error {
 	var head bytes.Buffer
-	head.Grow(1<<10 + min(len(call.Body), largeBody))
-	head.WriteString(call.Method + " " + call.URI + " HTTP/1.1\r\nHost: " + call.Host + "\r\n")
-	if len(call.Body) > 0 || call.Method != http.MethodGet {
-		head.WriteString("Content-Length: " + strconv.Itoa(len(call.Body)) + "\r\n")
+	head.Grow(1<<10 + min(len(request.Body), maxInlineBody))
+	head.WriteString(request.Method + " " + request.URI + " HTTP/1.1\r\nHost: " + request.Host + "\r\n")
+	if len(request.Body) > 0 || request.Method != http.MethodGet {
+		head.WriteString("Content-Length: " + strconv.Itoa(len(request.Body)) + "\r\n")
 	}
-	if err := call.Header.Write(&head); err != nil {
+	if err := request.Header.Write(&head); err != nil {
 		return &RequestError{Cause: err}
 	}
 	head.WriteString("\r\n")
-	if len(call.Body) <= largeBody {
-		head.Write(call.Body)
+	if len(request.Body) <= maxInlineBody {
+		head.Write(request.Body)
 	}
 	n, err := c.Write(head.Bytes())
 	if err != nil {
 		return &RequestError{Sent: n > 0, Cause: err}
 	}
-	if len(call.Body) <= largeBody {
-		close(a.written)
+	if len(request.Body) <= maxInlineBody {
+		close(r.written)
 		return nil
 	}
 	go func() {
 		// A failed write shows where the answer is read.
-		if _, err := c.Write(call.Body); err == nil {
-			close(a.written)
+		if _, err := c.Write(request.Body); err == nil {
+			close(r.written)
 		}
 	}()
 	return nil
 }
 
-// readAnswer reads the head of the answer that belongs to the call.
-func readAnswer(c *poolConn, call *Request) (*http.Response, error) {
-	req := &http.Request{Method: call.Method}
-	for range maxForeign + 1 {
-		resp, err := readFinal(c, req)
+// readResponse reads the head of the answer that belongs to the call.
+func readResponse(c *poolConn, request *Request) (*http.Response, error) {
+	req := &http.Request{Method: request.Method}
+	for range maxMismatched + 1 {
+		resp, err := readFinalResponse(c, req)
 		if err != nil {
 			return nil, err
 		}
-		id := resp.Header.Get(call.IDHeader)
-		if call.IDHeader == "" || id == call.ID {
+		id := resp.Header.Get(request.IDHeader)
+		if request.IDHeader == "" || id == request.ID {
 			return resp, nil
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil || resp.Close {
@@ -152,8 +152,8 @@
 	return nil, ErrMismatchedResponse
 }
 
-// readFinal passes over interim answers (status 1xx).
-func readFinal(c *poolConn, req *http.Request) (*http.Response, error) {
+// readFinalResponse passes over interim answers (status 1xx).
+func readFinalResponse(c *poolConn, req *http.Request) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(c.br, req)
 		if err != nil {
@@ -166,38 +166,38 @@
 }
 
 // Read implements io.Reader on the body. io.EOF means that the whole body came.
-func (a *Response) Read(b []byte) (int, error) {
-	n, err := a.body.Read(b)
+func (r *Response) Read(b []byte) (int, error) {
+	n, err := r.body.Read(b)
 	if err == io.EOF {
-		a.clean = true
+		r.complete = true
 	}
 	return n, err
 }
 
 // Complete reports whether the body ended as it should.
-func (a *Response) Complete() bool { return a.clean }
+func (r *Response) Complete() bool { return r.complete }
 
 // Buffered reports whether more of the body can be read without waiting.
-func (a *Response) Buffered() bool { return a.conn.br.Buffered() > 0 }
+func (r *Response) Buffered() bool { return r.conn.br.Buffered() > 0 }
 
 // Close ends the use of the connection. It is kept for another request only if
 // the answer ended cleanly, nothing is left unread and the request was written
 // to its end; else the next answer would be read out of step.
-func (a *Response) Close() {
-	if a.closed {
+func (r *Response) Close() {
+	if r.closed {
 		return
 	}
-	a.closed = true
-	if !a.stop() || !a.clean || a.resp.Close || !a.wholeRequest() || a.conn.br.Buffered() > 0 {
-		_ = a.conn.Close()
+	r.closed = true
+	if !r.stop() || !r.complete || r.resp.Close || !r.requestWritten() || r.conn.br.Buffered() > 0 {
+		_ = r.conn.Close()
 		return
 	}
-	a.pool.put(a.conn, a.resp)
+	r.pool.put(r.conn, r.resp)
 }
 
-func (a *Response) wholeRequest() bool {
+func (r *Response) requestWritten() bool {
 	select {
-	case <-a.written:
+	case <-r.written:
 		return true
 	default:
 		return false
--- a/upstream/idle.go
+++ b/upstream/idle.go
@@ -13,20 +13,20 @@
 // idleBody ends an answer that has been silent for too long. Only time spent
 // waiting for the upstream counts, so a slow caller cuts nothing.
 type idleBody struct {
-	body   io.ReadCloser
-	idle   time.Duration
-	timer  *time.Timer
-	cancel context.CancelCauseFunc
+	body    io.ReadCloser
+	timeout time.Duration
+	timer   *time.Timer
+	cancel  context.CancelCauseFunc
 }
 
-func newIdleBody(body io.ReadCloser, idle time.Duration, cancel context.CancelCauseFunc) *idleBody {
-	timer := time.AfterFunc(idle, func() { cancel(ErrIdleTimeout) })
+func newIdleBody(body io.ReadCloser, timeout time.Duration, cancel context.CancelCauseFunc) *idleBody {
+	timer := time.AfterFunc(timeout, func() { cancel(ErrIdleTimeout) })
 	timer.Stop()
-	return &idleBody{body: body, idle: idle, timer: timer, cancel: cancel}
+	return &idleBody{body: body, timeout: timeout, timer: timer, cancel: cancel}
 }
 
 func (b *idleBody) Read(p []byte) (int, error) {
-	b.timer.Reset(b.idle)
+	b.timer.Reset(b.timeout)
 	n, err := b.body.Read(p)
 	b.timer.Stop()
 	return n, err
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -64,21 +64,21 @@
 	p.dialer = net.Dialer{
 		Timeout:         cfg.DialTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2},
-		Control:         p.control,
+		Control:         p.setUserTimeout,
 	}
 	return p
 }
 
-// control sets the bound on unacknowledged bytes.
-func (p *Pool) control(_, _ string, c syscall.RawConn) error {
-	var set error
+// setUserTimeout sets the bound on unacknowledged bytes.
+func (p *Pool) setUserTimeout(_, _ string, c syscall.RawConn) error {
+	var setErr error
 	err := c.Control(func(fd uintptr) {
-		set = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(p.cfg.TCPUserTimeout.Milliseconds()))
+		setErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(p.cfg.TCPUserTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return set
+	return setErr
 }
 
 // Dials is the number of connections opened.
@@ -94,27 +94,27 @@
 	br   *bufio.Reader
 	addr string
 	// started is the start of the upstream to which it was opened.
-	started int64
-	used    time.Time
+	started  int64
+	lastUsed time.Time
 	// expires is when the connection is closed if it is still idle.
 	expires time.Time
 	reused  bool
 }
 
-// readBuffer is the size of a connection's read buffer: an answer's head and
+// readBufferSize is the size of a connection's read buffer: an answer's head and
 // several events fit.
-const readBuffer = 2 << 10
+const readBufferSize = 2 << 10
 
 // get returns a connection that was last used within maxIdle, or a new one.
 //
 // A connection to an earlier start of the upstream isn't used. After a loss of power
 // nothing has closed it; what is sent on it meets a reset, and nobody knows that it
 // didn't run.
-func (p *Pool) get(ctx context.Context, call *Request, maxIdle time.Duration) (*poolConn, error) {
-	addr := call.Address
-	for c := p.take(addr); c != nil; c = p.take(addr) {
+func (p *Pool) get(ctx context.Context, request *Request, maxIdle time.Duration) (*poolConn, error) {
+	addr := request.Address
+	for c := p.popIdle(addr); c != nil; c = p.popIdle(addr) {
 		now := time.Now()
-		if now.Before(c.expires) && now.Sub(c.used) < maxIdle && c.started == call.Started && c.quiet() {
+		if now.Before(c.expires) && now.Sub(c.lastUsed) < maxIdle && c.started == request.Started && c.noUnreadData() {
 			c.reused = true
 			return c, nil
 		}
@@ -127,11 +127,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return &poolConn{Conn: conn, br: bufio.NewReaderSize(conn, readBuffer), addr: addr, started: call.Started}, nil
+	return &poolConn{Conn: conn, br: bufio.NewReaderSize(conn, readBufferSize), addr: addr, started: request.Started}, nil
 }
 
-// take removes the connection that was used last.
-func (p *Pool) take(addr string) *poolConn {
+// popIdle removes the connection that was used last.
+func (p *Pool) popIdle(addr string) *poolConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[addr]
@@ -145,13 +145,13 @@
 
 // put keeps a connection whose last answer ended cleanly.
 func (p *Pool) put(c *poolConn, resp *http.Response) {
-	idle := p.keep(resp)
+	idle := p.idleTimeout(resp)
 	if idle <= 0 {
 		_ = c.Close()
 		return
 	}
-	c.used = time.Now()
-	c.expires = c.used.Add(idle)
+	c.lastUsed = time.Now()
+	c.expires = c.lastUsed.Add(idle)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.idle[c.addr]) >= p.cfg.MaxIdlePerUpstream {
@@ -161,8 +161,8 @@
 	p.idle[c.addr] = append(p.idle[c.addr], c)
 }
 
-// keep is how long a connection may wait after an answer.
-func (p *Pool) keep(resp *http.Response) time.Duration {
+// idleTimeout is how long a connection may wait after an answer.
+func (p *Pool) idleTimeout(resp *http.Response) time.Duration {
 	for part := range strings.SplitSeq(resp.Header.Get("Keep-Alive"), ",") {
 		value, found := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
 		if !found {
@@ -175,9 +175,9 @@
 	return p.cfg.IdleTimeout
 }
 
-// quiet reports whether nothing has arrived on an idle connection. An upstream
+// noUnreadData reports whether nothing has arrived on an idle connection. An upstream
 // may send a second answer after the first, or close: both end its use.
-func (c *poolConn) quiet() bool {
+func (c *poolConn) noUnreadData() bool {
 	if c.br.Buffered() > 0 {
 		return false
 	}
@@ -189,14 +189,14 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	noData := false
 	err = raw.Read(func(fd uintptr) bool {
-		var one [1]byte
-		_, _, peek := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = peek == unix.EAGAIN
+		var buf [1]byte
+		_, _, recvErr := unix.Recvfrom(int(fd), buf[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		noData = recvErr == unix.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && noData
 }
 
 // CloseExpired closes connections that have waited long enough.
--- a/upstream/pool_test.go
+++ b/upstream/pool_test.go
@@ -16,19 +16,19 @@
 	"github.com/aspenswitch/aspenswitch/upstream"
 )
 
-// scripted is an upstream that reads requests and answers each connection's by
+// fakeUpstream is an upstream that reads requests and answers each connection's by
 // a script of its own.
-type scripted struct {
+type fakeUpstream struct {
 	listener net.Listener
 	conns    chan net.Conn
 }
 
 // serve runs script on each connection that is accepted.
-func serve(t *testing.T, script func(c net.Conn, r *bufio.Reader)) *scripted {
+func serve(t *testing.T, script func(c net.Conn, r *bufio.Reader)) *fakeUpstream {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
-	s := &scripted{listener: l, conns: make(chan net.Conn, 16)}
+	s := &fakeUpstream{listener: l, conns: make(chan net.Conn, 16)}
 	t.Cleanup(func() { _ = l.Close() })
 	go func() {
 		for {
@@ -46,7 +46,7 @@
 	return s
 }
 
-func (s *scripted) call(id string, body string) *upstream.Request {
+func (s *fakeUpstream) request(id string, body string) *upstream.Request {
 	return &upstream.Request{
 		Address: s.listener.Addr().String(), Method: http.MethodPost, URI: "/p//a%2fb?x=1", Host: "h.example",
 		Header: http.Header{"Id": {id}}, Body: []byte(body), IDHeader: "Id", ID: id, Repeatable: true,
@@ -62,7 +62,7 @@
 	return req, string(body), err
 }
 
-func answer(id, body string) string {
+func response(id, body string) string {
 	return "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: " + itoa(len(body)) + "\r\n\r\n" + body
 }
 
@@ -76,7 +76,7 @@
 	return p
 }
 
-func TestCallGoesOutAsItCame(t *testing.T) {
+func TestRequestIsSentUnchanged(t *testing.T) {
 	g := NewWithT(t)
 	uris := make(chan string, 1)
 	s := serve(t, func(c net.Conn, r *bufio.Reader) {
@@ -85,9 +85,9 @@
 			return
 		}
 		uris <- req.RequestURI + " " + req.Host + " " + body
-		_, _ = io.WriteString(c, answer("1", "ok"))
+		_, _ = io.WriteString(c, response("1", "ok"))
 	})
-	a, err := newPool(t).Do(context.Background(), s.call("1", "hello"))
+	a, err := newPool(t).Do(context.Background(), s.request("1", "hello"))
 	g.Expect(err).NotTo(HaveOccurred())
 	defer a.Close()
 	g.Expect(io.ReadAll(a)).To(Equal([]byte("ok")))
@@ -105,14 +105,14 @@
 				return
 			}
 			if id == "2" {
-				_, _ = io.WriteString(c, answer("1", "first"))
+				_, _ = io.WriteString(c, response("1", "first"))
 			}
-			_, _ = io.WriteString(c, answer(id, "right"+id))
+			_, _ = io.WriteString(c, response(id, "right"+id))
 		}
 	})
 	p := newPool(t)
 	for _, id := range []string{"1", "2"} {
-		a, err := p.Do(context.Background(), s.call(id, ""))
+		a, err := p.Do(context.Background(), s.request(id, ""))
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(io.ReadAll(a)).To(Equal([]byte("right" + id)))
 		a.Close()
@@ -129,12 +129,12 @@
 			return
 		}
 		id := req.Header.Get("Id")
-		_, _ = io.WriteString(c, answer(id, "right")+answer(id, "again"))
+		_, _ = io.WriteString(c, response(id, "right")+response(id, "again"))
 		_, _ = io.Copy(io.Discard, r)
 	})
 	p := newPool(t)
 	for _, id := range []string{"1", "2"} {
-		a, err := p.Do(context.Background(), s.call(id, ""))
+		a, err := p.Do(context.Background(), s.request(id, ""))
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(io.ReadAll(a)).To(Equal([]byte("right")))
 		a.Close()
@@ -146,7 +146,7 @@
 func TestBrokenConnectionAfterSendingCountsAsSent(t *testing.T) {
 	g := NewWithT(t)
 	s := serve(t, func(_ net.Conn, r *bufio.Reader) { _, _, _ = readRequest(r) })
-	_, err := newPool(t).Do(context.Background(), s.call("1", "x"))
+	_, err := newPool(t).Do(context.Background(), s.request("1", "x"))
 	g.Expect(err).To(HaveOccurred())
 	g.Expect(upstream.NotSent(err)).To(BeFalse())
 }
@@ -167,7 +167,7 @@
 		_, _, _ = readRequest(r)
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 10\r\n\r\nhalf")
 	})
-	a, err := newPool(t).Do(context.Background(), s.call("1", ""))
+	a, err := newPool(t).Do(context.Background(), s.request("1", ""))
 	g.Expect(err).NotTo(HaveOccurred())
 	defer a.Close()
 	_, err = io.ReadAll(a)
@@ -190,7 +190,7 @@
 					_ = c.(*net.TCPConn).SetLinger(0)
 				}
 			})
-			a, err := newPool(t).Do(context.Background(), s.call("1", ""))
+			a, err := newPool(t).Do(context.Background(), s.request("1", ""))
 			g.Expect(err).NotTo(HaveOccurred())
 			defer a.Close()
 			part := make([]byte, 4)
@@ -216,13 +216,13 @@
 		if err != nil {
 			return
 		}
-		_, _ = io.WriteString(c, answer(req.Header.Get("Id"), "no"))
+		_, _ = io.WriteString(c, response(req.Header.Get("Id"), "no"))
 		<-hold
 	})
 	p := newPool(t)
 	long := strings.Repeat("x", 8<<20)
 	for _, id := range []string{"1", "2"} {
-		a, err := p.Do(context.Background(), s.call(id, long))
+		a, err := p.Do(context.Background(), s.request(id, long))
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(io.ReadAll(a)).To(Equal([]byte("no")))
 		a.Close()
@@ -240,7 +240,7 @@
 			if err != nil {
 				return
 			}
-			_, _ = io.WriteString(c, answer(req.Header.Get("Id"), "ok"))
+			_, _ = io.WriteString(c, response(req.Header.Get("Id"), "ok"))
 		}
 	})
 	cfg := upstream.DefaultPoolConfig()
@@ -248,7 +248,7 @@
 	p := upstream.NewPool(cfg)
 	t.Cleanup(p.Close)
 	for _, id := range []string{"1", "2"} {
-		call := s.call(id, "")
+		call := s.request(id, "")
 		call.Repeatable = false
 		a, err := p.Do(context.Background(), call)
 		g.Expect(err).NotTo(HaveOccurred())
@@ -270,12 +270,12 @@
 			if err != nil {
 				return
 			}
-			_, _ = io.WriteString(c, answer(req.Header.Get("Id"), "ok"))
+			_, _ = io.WriteString(c, response(req.Header.Get("Id"), "ok"))
 		}
 	})
 	p := newPool(t)
 	for i, started := range []int64{1000, 1000, 2000} {
-		call := s.call(itoa(i), "")
+		call := s.request(itoa(i), "")
 		call.Started = started
 		a, err := p.Do(context.Background(), call)
 		g.Expect(err).NotTo(HaveOccurred())
@@ -301,7 +301,7 @@
 		<-s.conns
 		cancel()
 	}()
-	_, err := newPool(t).Do(ctx, s.call("1", ""))
+	_, err := newPool(t).Do(ctx, s.request("1", ""))
 	g.Expect(err).To(HaveOccurred())
 	g.Eventually(closed, 5*time.Second).Should(BeClosed())
 }
@@ -309,7 +309,7 @@
 // What upstreams send is read without a crash, and a body never grows past what
 // was announced.
 func FuzzAnswers(f *testing.F) {
-	f.Add([]byte(answer("1", "ok")))
+	f.Add([]byte(response("1", "ok")))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nId: 1\r\n\r\n2\r\nab\r\n0\r\n\r\n"))
 	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 No\r\nId: 1\r\n\r\n"))
 	f.Add([]byte("\x00\xffgarbage\r\n\r\n"))
@@ -318,7 +318,7 @@
 			_, _, _ = readRequest(r)
 			_, _ = c.Write(raw)
 		})
-		a, err := newPool(t).Do(context.Background(), s.call("1", ""))
+		a, err := newPool(t).Do(context.Background(), s.request("1", ""))
 		if err != nil {
 			return
 		}
