--- a/boottime/boottime.go
+++ b/boottime/boottime.go
@@ -1,4 +1,4 @@
-// Package boottime reads the clock that goes on while the VM is suspended.
+// Package boottime reads a clock that continues to advance while the VM is suspended.
 package boottime
 
 import (
@@ -7,18 +7,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// Time is a moment on CLOCK_BOOTTIME, counted from the VM's start.
+// Time is a CLOCK_BOOTTIME timestamp, the time since the VM booted.
 //
-// Rights that end by themselves are measured on it. The monotonic clock of
-// package time stands still while a VM is suspended: a process that woke would
-// hold a right that ended during its sleep. The wall clock jumps.
+// Leases and other expirations are measured on it. The monotonic clock of package
+// time stops while a VM is suspended: after resuming, a process would still use a
+// lease that expired in the meantime. The wall clock can jump.
 type Time time.Duration
 
-// Clock tells the present moment.
+// Clock returns the current time.
 type Clock func() Time
 
-// Now reads the kernel's clock. A kernel without it falls back to the
-// monotonic clock, as all Linux kernels since 2.6.39 have it.
+// Now returns the kernel's CLOCK_BOOTTIME. It falls back to the monotonic clock on
+// kernels without it; all Linux kernels since 2.6.39 have it.
 func Now() Time {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
@@ -29,8 +29,8 @@
 
 var processStart = time.Now()
 
-// Sub is the time from u to t.
+// Sub returns the duration t-u.
 func (t Time) Sub(u Time) time.Duration { return time.Duration(t - u) }
 
-// Add is the moment d after t.
+// Add returns the time t+d.
 func (t Time) Add(d time.Duration) Time { return t + Time(d) }
--- a/headers/headers.go
+++ b/headers/headers.go
@@ -1,4 +1,5 @@
-// Package headers has what both of the product's HTTP sides do to headers.
+// Package headers contains HTTP header processing shared by the server and client
+// sides.
 package headers
 
 import (
@@ -6,15 +7,15 @@
 	"strings"
 )
 
-// hopByHop headers concern one connection and are not passed on (RFC 9110,
-// section 7.6.1).
+// hopByHop lists the headers that apply to a single connection and must not be
+// forwarded (RFC 9110, section 7.6.1).
 var hopByHop = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// RemoveHopByHop removes the headers that concern one connection, those that the
-// Connection header names included.
+// RemoveHopByHop removes the hop-by-hop headers, including those named by the
+// Connection header.
 func RemoveHopByHop(h http.Header) {
 	for _, list := range h.Values("Connection") {
 		for name := range strings.SplitSeq(list, ",") {
--- a/membership/doc.go
+++ b/membership/doc.go
@@ -1,9 +1,9 @@
-// Package membership tells which VMs of the fleet are live and which of them is
-// the home of what.
+// Package membership tracks which VMs of the fleet are live and assigns each key a
+// home, the VM that owns it.
 //
-// The platform's list of VMs lags, so it seeds the view and no more: heartbeats
-// between the routers decide who is live. A VM that was heard is live although
-// the list doesn't name it yet; a listed VM that falls silent is suspected.
+// The platform's list of VMs lags, so it only seeds the view: heartbeats between the
+// routers determine which VMs are live. A VM that sends messages is live even if the
+// list doesn't include it yet; a listed VM that stops sending is suspected.
 //
-// The package is pure: the time is an argument everywhere.
+// The package does no I/O and reads no clock: the time is always an argument.
 package membership
--- a/membership/home.go
+++ b/membership/home.go
@@ -2,9 +2,9 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Home picks the VM that is the home of key, by rendezvous (highest random
-// weight) hashing (Thaler and Ravishankar, 1998). When a VM goes, only what it
-// was the home of moves. It returns "" for an empty list.
+// Home returns the VM that is the home of key, by rendezvous (highest random weight)
+// hashing (Thaler and Ravishankar, 1998). When a VM leaves, only the keys it was the
+// home of move. It returns "" for an empty list.
 func Home(live []string, key string) string {
 	home, highest := "", uint64(0)
 	for _, name := range live {
--- a/membership/member.go
+++ b/membership/member.go
@@ -6,17 +6,17 @@
 type ListedVM struct {
 	Name          string `json:"name"`
 	FailureDomain string `json:"failureDomain"`
-	// Address is where the VM's router listens for its peers.
+	// Address is the address at which the VM's router listens for its peers.
 	Address string `json:"address"`
-	// Leaving is set while the platform drains the VM.
+	// Leaving is true while the platform drains the VM.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// member is what is known of another VM.
+// member is the state recorded for another VM.
 type member struct {
 	listed  bool
 	leaving bool
-	// announcedLeave is set when the VM itself told that it shuts down.
+	// announcedLeave is true once the VM itself announced that it is shutting down.
 	announcedLeave bool
 	incarnation    uint64
 	lastMessageAt  time.Time
--- a/membership/view.go
+++ b/membership/view.go
@@ -6,22 +6,24 @@
 	"time"
 )
 
-// View is one router's view of the fleet. It is not safe for concurrent use.
+// View is one router's view of the fleet's membership. It is not safe for concurrent
+// use.
 type View struct {
 	self string
-	// suspectAfter is the silence after which a VM no longer counts as live.
+	// suspectAfter is the time without messages after which a VM no longer counts as
+	// live.
 	suspectAfter time.Duration
 	members      map[string]*member
 	leaving      bool
 }
 
-// NewView returns the view of a router that knows only itself.
+// NewView returns a view whose only member is the router itself.
 func NewView(self string, suspectAfter time.Duration) *View {
 	return &View{self: self, suspectAfter: suspectAfter, members: map[string]*member{}}
 }
 
-// SetList takes in the platform's list. VMs that it drops and that are silent
-// are forgotten; those still heard stay, since the list lags.
+// SetList applies the platform's list. VMs that are not listed are removed if no
+// message was ever received from them; others are kept, since the list lags.
 func (v *View) SetList(list []ListedVM) {
 	for _, m := range v.members {
 		m.listed = false
@@ -48,8 +50,8 @@
 	return m
 }
 
-// RecordMessage notes a message from a VM. It returns true if the VM's incarnation is a
-// new one: all that was promised by the earlier one is void.
+// RecordMessage records a message from a VM. It returns true if the VM's incarnation
+// changed: all commitments of the previous incarnation are then void.
 func (v *View) RecordMessage(now time.Time, name string, incarnation uint64, leaving bool) bool {
 	m := v.member(name)
 	changed := m.incarnation != incarnation
@@ -62,10 +64,11 @@
 	return changed
 }
 
-// Leave marks this router as shutting down: it is no home any more.
+// Leave marks this router as shutting down: it is no longer the home of any key.
 func (v *View) Leave() { v.leaving = true }
 
-// Incarnation is the last known incarnation of a VM, 0 if it was never heard.
+// Incarnation returns the last recorded incarnation of a VM, or 0 if it never sent a
+// message.
 func (v *View) Incarnation(name string) uint64 {
 	if m, ok := v.members[name]; ok {
 		return m.incarnation
@@ -73,8 +76,8 @@
 	return 0
 }
 
-// Live returns the VMs that may be homes now, sorted; this one is among them
-// unless it is leaving.
+// Live returns the VMs that may be homes, sorted. It includes this one unless it is
+// leaving.
 func (v *View) Live(now time.Time) []string {
 	var live []string
 	if !v.leaving {
@@ -93,13 +96,14 @@
 	return !m.lastMessageAt.IsZero() && now.Sub(m.lastMessageAt) <= v.suspectAfter
 }
 
-// Reachable reports whether the VM was heard lately, leaving or not.
+// Reachable reports whether the VM sent a message within suspectAfter, whether or not
+// it is leaving.
 func (v *View) Reachable(now time.Time, name string) bool {
 	m, ok := v.members[name]
 	return ok && v.isReachable(now, m)
 }
 
-// Peers returns every other VM that is listed or was heard lately, sorted.
+// Peers returns every other VM that is listed or reachable, sorted.
 func (v *View) Peers(now time.Time) []string {
 	var peers []string
 	for name, m := range v.members {
@@ -111,9 +115,9 @@
 	return peers
 }
 
-// CountListed returns how many of the listed VMs are heard, and how many are
-// listed, this one in both. They differ during a partition and, until the list
-// catches up, after a crash.
+// CountListed returns how many of the listed VMs are reachable, and how many are
+// listed; both include this one and exclude leaving VMs. The counts differ during a
+// partition and, until the list catches up, after a crash.
 func (v *View) CountListed(now time.Time) (reachable, listed int) {
 	reachable, listed = 1, 1
 	for _, m := range v.members {
--- a/obs/async.go
+++ b/obs/async.go
@@ -6,9 +6,9 @@
 	"sync/atomic"
 )
 
-// AsyncWriter hands lines to a writer from a goroutine of its own. A pipe that nobody
-// reads would else block the requests that write lines; here lines are dropped
-// and counted.
+// AsyncWriter passes lines to a writer in a separate goroutine. A pipe whose reader has
+// stalled would otherwise block the requests that log; here lines are dropped and
+// counted instead.
 type AsyncWriter struct {
 	out     io.Writer
 	mu      sync.Mutex
@@ -19,10 +19,10 @@
 	dropped atomic.Int64
 }
 
-// maxPendingBytes bounds the memory of lines that wait: some two hundred.
+// maxPendingBytes limits the memory for pending lines, about two hundred of them.
 const maxPendingBytes = 64 << 10
 
-// NewAsyncWriter returns a writer that passes lines on to w until Close.
+// NewAsyncWriter returns a writer that passes lines to w until Close.
 func NewAsyncWriter(w io.Writer) *AsyncWriter {
 	a := &AsyncWriter{out: w, notify: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{})}
 	go a.run()
@@ -46,7 +46,7 @@
 	return len(line), nil
 }
 
-// Dropped is the number of lines left out.
+// Dropped returns the number of dropped lines.
 func (a *AsyncWriter) Dropped() int64 { return a.dropped.Load() }
 
 func (a *AsyncWriter) run() {
@@ -61,12 +61,12 @@
 		a.mu.Lock()
 		lines, a.pending = a.pending, lines[:0]
 		a.mu.Unlock()
-		// A log that can't be written has nowhere to say so.
+		// An error is ignored: there is no other place to report it.
 		_, _ = a.out.Write(lines)
 	}
 }
 
-// Close writes what is pending and ends. Lines written later are lost.
+// Close writes the pending lines and stops. Lines written later are lost.
 func (a *AsyncWriter) Close() error {
 	close(a.stop)
 	<-a.done
--- a/obs/async_test.go
+++ b/obs/async_test.go
@@ -12,7 +12,7 @@
 	"github.com/aspenswitch/aspenswitch/obs"
 )
 
-// blockedPipe is a pipe that nobody reads until it is released.
+// blockedPipe is a writer that blocks until it is released.
 type blockedPipe struct {
 	release chan struct{}
 	mu      sync.Mutex
@@ -26,8 +26,8 @@
 	return s.written.Write(b)
 }
 
-// Requests would wait for a reader of the log. Nobody reads the pipe: lines are
-// kept up to a bound, then dropped and counted; none blocks.
+// A pipe that nobody reads would block the requests that log. Lines must be kept up to
+// a limit, then dropped and counted; no write may block.
 func TestStuckPipeBlocksNobody(t *testing.T) {
 	g := NewWithT(t)
 	out := &blockedPipe{release: make(chan struct{})}
@@ -45,11 +45,11 @@
 	close(out.release)
 	g.Expect(a.Close()).To(Succeed())
 	_, err := a.Write(line)
-	g.Expect(err).NotTo(HaveOccurred(), "a line after the end is lost, not a failure")
+	g.Expect(err).NotTo(HaveOccurred(), "a line after Close is lost without an error")
 }
 
-// Under load each kind keeps its budget: a flood of successes doesn't displace
-// the lines that explain failures, and what is left out is told.
+// Each kind has its own budget: under load a flood of success lines must not displace
+// the lines that explain failures. The number of omitted lines is logged.
 func TestKindsHaveBudgetsOfTheirOwn(t *testing.T) {
 	g := NewWithT(t)
 	var out bytes.Buffer
--- a/obs/doc.go
+++ b/obs/doc.go
@@ -1,2 +1,2 @@
-// Package obs gives processes their logs and metrics.
+// Package obs provides logging and metrics for the processes.
 package obs
--- a/obs/limited.go
+++ b/obs/limited.go
@@ -7,12 +7,12 @@
 	"github.com/rs/zerolog"
 )
 
-// Event is a line of the log that is being written.
+// Event is a log line under construction.
 type Event = zerolog.Event
 
-// LimitedLogger writes at most so many lines a second of each kind. Under load a line
-// a request would cost more processor time than it explains; kinds have budgets
-// of their own, so that lines of success don't displace those of failure.
+// LimitedLogger limits the number of lines per second for each kind of event. Under load
+// a line per request would cost more CPU time than it is worth; each kind has its own
+// budget, so that success lines don't displace failure lines.
 type LimitedLogger struct {
 	log            zerolog.Logger
 	linesPerSecond int
@@ -26,24 +26,24 @@
 	omitted int
 }
 
-// NewLimitedLogger returns a log with a budget of lines a second for each kind.
+// NewLimitedLogger returns a logger that writes up to linesPerSecond lines per second of
+// each kind.
 func NewLimitedLogger(log zerolog.Logger, linesPerSecond int) *LimitedLogger {
 	return &LimitedLogger{log: log, linesPerSecond: linesPerSecond, kinds: map[string]*kindCounter{}}
 }
 
-// Info writes a line of a kind within its budget.
+// Info logs a line of the given kind if its budget allows.
 func (l *LimitedLogger) Info(kind string, write func(*Event)) {
 	l.logLine(kind, zerolog.InfoLevel, l.linesPerSecond, write)
 }
 
-// Warn writes a line of a kind that explains a failure. Its budget is four
-// times that of other lines.
+// Warn logs a line that explains a failure. Its budget is four times that of Info.
 func (l *LimitedLogger) Warn(kind string, write func(*Event)) {
 	l.logLine(kind, zerolog.WarnLevel, 4*l.linesPerSecond, write)
 }
 
-// logLine writes within the budget. The logLine after an omission tells how many of
-// its kind were left out.
+// logLine logs a line if fewer than budget lines of its kind were logged this second.
+// The first line after an omission contains the number of omitted lines of its kind.
 func (l *LimitedLogger) logLine(kind string, level zerolog.Level, budget int, write func(*Event)) {
 	second := time.Now().Unix()
 	l.mu.Lock()
--- a/obs/log.go
+++ b/obs/log.go
@@ -6,7 +6,7 @@
 	"github.com/rs/zerolog"
 )
 
-// NewLog returns a logger of JSON lines. The level must be a valid one.
+// NewLog returns a logger that writes JSON lines to w. An invalid level means info.
 func NewLog(w io.Writer, level, process string) zerolog.Logger {
 	l, err := zerolog.ParseLevel(level)
 	if err != nil {
--- a/obs/metrics.go
+++ b/obs/metrics.go
@@ -10,17 +10,17 @@
 	"github.com/uber-go/tally/v4/prometheus"
 )
 
-// reportInterval is how often the scope hands its values to the reporter.
+// reportInterval is how often the scope passes its values to the reporter.
 const reportInterval = time.Second
 
-// Metrics are a process's counters, with the handler that serves them as text.
+// Metrics contains a process's metrics and the handler that serves them as text.
 type Metrics struct {
 	Scope   tally.Scope
 	Handler http.Handler
 	closer  io.Closer
 }
 
-// NewMetrics returns metrics whose names begin with prefix.
+// NewMetrics returns metrics whose names start with prefix.
 func NewMetrics(prefix string) *Metrics {
 	registry := prom.NewRegistry()
 	reporter := prometheus.NewReporter(prometheus.Options{Registerer: registry, Gatherer: registry})
@@ -33,5 +33,5 @@
 	return &Metrics{Scope: scope, Handler: reporter.HTTPHandler(), closer: closer}
 }
 
-// Close ends the reporter.
+// Close stops the reporter.
 func (m *Metrics) Close() error { return m.closer.Close() }
--- a/peer/codec.go
+++ b/peer/codec.go
@@ -13,10 +13,12 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("peer")
 
-// maxMessage bounds what a peer may make this process read into memory.
+// maxMessage is the maximum size of a message in bytes. It limits the memory that a
+// peer can make this process allocate.
 const maxMessage = 8 << 20
 
-// stream frames messages by their length and flushes the compressor after each.
+// stream is a jsonrpc2.ObjectStream that prefixes each message with its length and
+// flushes the compressor after it.
 type stream struct {
 	conn   *flateConn
 	reader *bufio.Reader
@@ -27,7 +29,7 @@
 	return &stream{conn: conn, reader: bufio.NewReader(conn)}
 }
 
-// WriteObject is called by one goroutine at a time.
+// WriteObject writes a message. It must not be called concurrently.
 func (s *stream) WriteObject(v any) error {
 	if err := s.codec.WriteObject(s.conn, v); err != nil {
 		return err
@@ -42,7 +44,7 @@
 		return err
 	}
 	if size > maxMessage {
-		return Error.New("message of %d bytes, at most %d are taken", size, maxMessage)
+		return Error.New("message of %d bytes exceeds the limit of %d bytes", size, maxMessage)
 	}
 	data := make([]byte, size)
 	if _, err := io.ReadFull(s.reader, data); err != nil {
--- a/peer/config.go
+++ b/peer/config.go
@@ -9,12 +9,12 @@
 	"github.com/rs/zerolog"
 )
 
-// Handler takes in what peers send.
+// Handler processes messages from peers.
 type Handler interface {
-	// Notify takes a notification. It is called in the order of sending on one
-	// connection and must not block for long.
+	// Notify handles a notification. It is called in the order in which the
+	// notifications were sent on one connection and must not block for long.
 	Notify(method string, params json.RawMessage)
-	// Call answers a call; it may block.
+	// Call handles a call and returns its result. It may block.
 	Call(ctx context.Context, method string, params json.RawMessage) (any, error)
 }
 
@@ -22,21 +22,24 @@
 type Config struct {
 	Handler Handler
 	Log     zerolog.Logger
-	// TLS, if set, is used in both directions with certificates on both sides.
+	// ServerTLS and ClientTLS, if set, enable mutual TLS for incoming and outgoing
+	// connections.
 	ServerTLS, ClientTLS *tls.Config
-	// DialTimeout bounds a new connection. Short, since a silent connection is
-	// replaced before its peer is suspected.
+	// DialTimeout limits the time to open a connection. It is short because an
+	// unresponsive connection must be replaced before its peer is suspected.
 	DialTimeout time.Duration
-	// WriteTimeout bounds a write: a peer that doesn't read loses the connection.
+	// WriteTimeout limits a write. The connection to a peer that doesn't read is
+	// closed.
 	WriteTimeout time.Duration
-	// ReadTimeout ends an incoming connection that carries nothing. Heartbeats
-	// come far more often.
+	// ReadTimeout closes an incoming connection that receives no data. Heartbeats
+	// are sent far more often.
 	ReadTimeout time.Duration
-	// QueueSize is how many notifications wait for one peer; more are dropped.
+	// QueueSize is the maximum number of notifications queued for one peer; more are
+	// dropped.
 	QueueSize int
 }
 
-// DefaultConfig returns the settings for VMs of one region.
+// DefaultConfig returns the configuration for VMs of one region.
 func DefaultConfig(h Handler, log zerolog.Logger) Config {
 	return Config{
 		Handler:      h,
--- a/peer/conn.go
+++ b/peer/conn.go
@@ -9,9 +9,9 @@
 	"github.com/klauspost/compress/flate"
 )
 
-// deadlineConn bounds every write, and every read if read is not 0. Without it a peer whose connection
-// has gone silent would hold the writer until the kernel gives up, many minutes
-// later.
+// deadlineConn sets a deadline for every write, and for every read if readTimeout is
+// not 0. Without it an unresponsive connection would block the writer until the
+// kernel gives up, many minutes later.
 type deadlineConn struct {
 	net.Conn
 	readTimeout, writeTimeout time.Duration
@@ -36,12 +36,12 @@
 	return n, err
 }
 
-// CompressionLevel is the effort for messages between routers. Small messages
-// that repeat most of their bytes gain much from it.
+// CompressionLevel is the flate level for messages between routers. Small messages
+// that repeat most of their bytes compress well at it.
 const CompressionLevel = 6
 
-// flateConn compresses one stream in each direction. Messages repeat most of
-// their bytes, so a window over the stream saves far more than one a message.
+// flateConn compresses each direction as one stream. Messages repeat most of their
+// bytes, so a window over the whole stream saves far more than one per message.
 type flateConn struct {
 	conn net.Conn
 	r    io.ReadCloser
@@ -58,10 +58,10 @@
 
 func (c *flateConn) Read(p []byte) (int, error) { return c.r.Read(p) }
 
-// Write compresses p. It is not sent before Flush.
+// Write compresses p. The data is not sent until Flush.
 func (c *flateConn) Write(p []byte) (int, error) { return c.w.Write(p) }
 
-// Flush sends what was written.
+// Flush sends the data written so far.
 func (c *flateConn) Flush() error { return c.w.Flush() }
 
 func (c *flateConn) Close() error { return c.conn.Close() }
--- a/peer/dispatcher.go
+++ b/peer/dispatcher.go
@@ -7,8 +7,8 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// dispatcher passes messages to the handler: notifications in order, calls each
-// in a goroutine of its own, so that a slow call holds nothing up.
+// dispatcher passes messages to the handler: notifications in order, each call in its
+// own goroutine, so that a slow call doesn't block other messages.
 type dispatcher struct{ handler Handler }
 
 // Handle implements jsonrpc2.Handler.
--- a/peer/doc.go
+++ b/peer/doc.go
@@ -1,7 +1,7 @@
-// Package peer carries messages between routers: JSON-RPC 2.0 over TCP or mutual
-// TLS, one connection a direction, compressed as one stream.
+// Package peer transports messages between routers: JSON-RPC 2.0 over TCP or mutual
+// TLS, with one connection per direction, compressed as one stream.
 //
-// Notifications are best effort: a queue that is full or a connection that
-// breaks loses them, and the sequence numbers of package sched find the gap.
-// Calls fail at once when there is no connection.
+// Notifications are best effort: they are lost if a queue is full or a connection
+// breaks, and the sequence numbers of package sched detect the gap. Calls fail
+// immediately if no connection can be opened.
 package peer
--- a/peer/link.go
+++ b/peer/link.go
@@ -10,7 +10,7 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// notification is a message that waits to be sent.
+// notification is a queued message.
 type notification struct {
 	method string
 	params any
@@ -28,7 +28,7 @@
 	conn    *jsonrpc2.Conn
 }
 
-// newLink begins a link. The caller holds m.mu and has seen that m is open.
+// newLink starts a link. The caller holds m.mu and has checked that m is not closed.
 func newLink(m *Mesh, name, address string) *link {
 	ctx, cancel := context.WithCancel(m.ctx)
 	l := &link{
@@ -40,8 +40,8 @@
 	return l
 }
 
-// run sends the queued notifications. What can't be sent is dropped: it would
-// be out of date by the time a connection comes back.
+// run sends the queued notifications. Those that can't be sent are dropped: they would
+// be out of date by the time a connection is available again.
 func (l *link) run() {
 	defer l.redial()
 	for {
@@ -65,7 +65,7 @@
 	}
 }
 
-// connection returns the open connection or dials one.
+// connection returns the open connection, or opens one.
 func (l *link) connection(ctx context.Context) (*jsonrpc2.Conn, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -99,7 +99,7 @@
 	return conn, Error.Wrap(err)
 }
 
-// discard forgets a connection that failed.
+// discard closes a connection that failed, so that the next message opens a new one.
 func (l *link) discard(conn *jsonrpc2.Conn) {
 	if conn == nil {
 		return
@@ -112,7 +112,7 @@
 	_ = conn.Close()
 }
 
-// redial closes the connection, so that the next message opens a new one.
+// redial closes the current connection, so that the next message opens a new one.
 func (l *link) redial() {
 	l.mu.Lock()
 	conn := l.conn
@@ -133,7 +133,7 @@
 	}
 }
 
-// call makes a call within the context's deadline.
+// call makes a call and waits for its result until the context ends.
 func (l *link) call(ctx context.Context, method string, params, result any) error {
 	conn, err := l.connection(ctx)
 	if err != nil {
@@ -141,12 +141,12 @@
 	}
 	err = conn.Call(ctx, method, params, result)
 	if ctx.Err() != nil {
-		// An answer that does not come may be a silent connection: the next call
-		// gets a new one.
+		// A missing response may mean that the connection is unresponsive: the next
+		// call opens a new one.
 		l.discard(conn)
 	}
 	return Error.Wrap(err)
 }
 
-// defaultCallTimeout bounds calls whose context has no deadline.
+// defaultCallTimeout limits calls whose context has no deadline.
 const defaultCallTimeout = 2 * time.Second
--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -13,7 +13,7 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// Mesh is a router's connections to all its peers.
+// Mesh manages a router's connections to all its peers.
 type Mesh struct {
 	cfg                  Config
 	listener             net.Listener
@@ -28,7 +28,7 @@
 	messagesSent         map[string]int64
 }
 
-// NewMesh returns a mesh that accepts peers on the listener. Serve starts it.
+// NewMesh returns a mesh that accepts peers on the listener once Serve is called.
 func NewMesh(cfg Config, l net.Listener) *Mesh {
 	if cfg.ServerTLS != nil {
 		l = tls.NewListener(l, cfg.ServerTLS)
@@ -37,7 +37,7 @@
 	return &Mesh{cfg: cfg, listener: l, ctx: ctx, cancel: cancel, links: map[string]*link{}, messagesSent: map[string]int64{}}
 }
 
-// Serve accepts peers until Close.
+// Serve accepts connections from peers until Close.
 func (m *Mesh) Serve() {
 	for {
 		conn, err := m.listener.Accept()
@@ -51,8 +51,8 @@
 	}
 }
 
-// startGoroutine starts a goroutine that Close waits for. It reports false after Close:
-// a goroutine that began then would go on after the router is gone.
+// startGoroutine runs f in a goroutine that Close waits for. It returns false without
+// starting it after Close: that goroutine would outlive the router.
 func (m *Mesh) startGoroutine(f func()) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -66,14 +66,14 @@
 func (m *Mesh) accept(raw net.Conn) {
 	conn, err := m.serve(m.ctx, raw, m.cfg.Handler)
 	if err != nil {
-		m.cfg.Log.Debug().Err(err).Msg("peer connection refused")
+		m.cfg.Log.Debug().Err(err).Msg("rejected peer connection")
 		return
 	}
 	<-conn.DisconnectNotify()
 }
 
-// serve starts JSON-RPC on a connection; h is nil on outgoing ones, which carry
-// only this side's messages.
+// serve starts JSON-RPC on a connection. h is nil for outgoing connections, which
+// carry only messages from this side.
 func (m *Mesh) serve(ctx context.Context, raw net.Conn, h Handler) (*jsonrpc2.Conn, error) {
 	bounded := &deadlineConn{Conn: raw, writeTimeout: m.cfg.WriteTimeout, bytesSent: &m.bytesSent}
 	if h != nil {
@@ -88,8 +88,8 @@
 	return jsonrpc2.NewConn(ctx, newStream(compressed), &dispatcher{handler: h}, discardLogs), nil
 }
 
-// SetAddresses names the peers and where they listen. Peers that are gone lose
-// their connection.
+// SetAddresses sets the peers and the addresses at which they listen. Connections to
+// peers that are no longer included are closed.
 func (m *Mesh) SetAddresses(addresses map[string]string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -117,7 +117,8 @@
 	return m.links[name]
 }
 
-// Notify queues a notification; it never blocks.
+// Notify queues a notification. It never blocks; the notification is dropped if the
+// queue is full or the peer is unknown.
 func (m *Mesh) Notify(to, method string, params any) {
 	l := m.link(to)
 	if l == nil {
@@ -135,7 +136,7 @@
 func (m *Mesh) Call(ctx context.Context, to, method string, params, result any) error {
 	l := m.link(to)
 	if l == nil {
-		return Error.New("no peer is named %q", to)
+		return Error.New("unknown peer %q", to)
 	}
 	m.countMessage(method)
 	if _, ok := ctx.Deadline(); !ok {
@@ -146,17 +147,18 @@
 	return l.call(ctx, method, params, result)
 }
 
-// Redial replaces the connection to a peer: it may have gone silent.
+// Redial replaces the connection to a peer, which may have become unresponsive.
 func (m *Mesh) Redial(to string) {
 	if l := m.link(to); l != nil {
 		l.redial()
 	}
 }
 
-// BytesSent is the number of bytes sent to peers, compressed, without TLS.
+// BytesSent returns the number of bytes sent to peers after compression, excluding TLS
+// overhead.
 func (m *Mesh) BytesSent() int64 { return m.bytesSent.Load() }
 
-// MessagesSent is the number of messages to peers by method.
+// MessagesSent returns the number of messages to peers by method.
 func (m *Mesh) MessagesSent() map[string]int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -169,10 +171,11 @@
 	m.mu.Unlock()
 }
 
-// NotificationsDropped is the number of notifications dropped because a queue was full.
+// NotificationsDropped returns the number of notifications dropped because a queue was
+// full.
 func (m *Mesh) NotificationsDropped() int64 { return m.notificationsDropped.Load() }
 
-// Close ends all connections and waits for their goroutines.
+// Close closes all connections and waits for their goroutines.
 func (m *Mesh) Close() {
 	m.mu.Lock()
 	m.closed = true
--- a/peer/mesh_test.go
+++ b/peer/mesh_test.go
@@ -11,9 +11,9 @@
 	"github.com/aspenswitch/aspenswitch/peer"
 )
 
-// A router stops in the very moment in which a peer connects and the list of VMs
-// changes. What those would begin either ends before Close returns or never
-// begins; a goroutine that outlives Close would talk for a router that is gone.
+// A router stops while a peer connects and the list of VMs changes. Goroutines started
+// by these must end before Close returns or must not start at all; one that outlives
+// Close would send messages for a router that has stopped.
 func TestCloseBesideNewConnectionsAndLinks(t *testing.T) {
 	g := NewWithT(t)
 	for range 300 {
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -17,18 +17,19 @@
 
 // Config tunes a Client.
 type Config struct {
-	// DialTimeout bounds a new connection.
+	// DialTimeout limits the time to open a connection.
 	DialTimeout time.Duration
-	// IdleTimeout is the longest silence within an answer. A connection that something
-	// between the two ends has forgotten stays open and silent for good.
+	// IdleTimeout is the maximum time without data within a response. A connection
+	// whose state a middlebox has dropped stays open without data indefinitely.
 	IdleTimeout time.Duration
-	// HeaderTimeout bounds the wait for the first byte of an answer.
+	// HeaderTimeout limits the wait for the response header.
 	HeaderTimeout time.Duration
-	// KeepAlive probes find a dead path below HTTP.
+	// KeepAlive configures the TCP keep-alive probes, which detect a broken path below
+	// HTTP.
 	KeepAlive net.KeepAliveConfig
 }
 
-// DefaultConfig returns settings for upstreams of the same region.
+// DefaultConfig returns the configuration for upstreams of the same region.
 func DefaultConfig() Config {
 	return Config{
 		DialTimeout:   time.Second,
@@ -41,7 +42,7 @@
 // Client sends requests to upstreams.
 type Client struct {
 	cfg Config
-	// pooled keeps connections; unpooled opens one for each request.
+	// pooled reuses connections; unpooled opens a new one for each request.
 	pooled, unpooled *http.Transport
 }
 
@@ -50,7 +51,7 @@
 	return &Client{cfg: cfg, pooled: newTransport(cfg, false), unpooled: newTransport(cfg, true)}
 }
 
-// maxIdlePerUpstream is how many connections wait for reuse.
+// maxIdlePerUpstream is the maximum number of idle connections kept per upstream.
 const maxIdlePerUpstream = 64
 
 func newTransport(cfg Config, disableReuse bool) *http.Transport {
@@ -65,10 +66,10 @@
 	}
 }
 
-// RequestError is a request that got no answer.
+// RequestError is returned for a request that received no response.
 type RequestError struct {
-	// Sent is set if the request may have reached the upstream. Without it the
-	// request truly did not run.
+	// Sent is true if the request may have reached the upstream. If it is false, the
+	// request was certainly not executed.
 	Sent  bool
 	Cause error
 }
@@ -76,22 +77,22 @@
 // Error implements error.
 func (f *RequestError) Error() string {
 	if f.Sent {
-		return "upstream: lost after sending: " + f.Cause.Error()
+		return "upstream: request failed after sending: " + f.Cause.Error()
 	}
-	return "upstream: not sent: " + f.Cause.Error()
+	return "upstream: request not sent: " + f.Cause.Error()
 }
 
 // Unwrap returns the cause.
 func (f *RequestError) Unwrap() error { return f.Cause }
 
-// Do sends a request and returns the answer's head; the body's reads end with an
-// error after Config.Idle of silence.
+// Do sends a request and returns the response once its header has arrived. Reads of the
+// body fail after Config.IdleTimeout without data.
 //
-// A request that is not repeatable goes out on a fresh connection. net/http
-// sends a request again by itself when a reused connection breaks and the
-// request counts as replayable, which an Idempotency-Key header makes it: the
-// caller would see one answer, and the service would have booked twice. It
-// never does so on a connection's first request.
+// A request that is not repeatable is sent on a new connection. net/http retries a
+// request by itself if a reused connection breaks and the request counts as replayable,
+// as one with an Idempotency-Key header does: the caller would receive one response
+// although the service executed the request twice. It never retries the first request
+// of a connection.
 func (c *Client) Do(req *http.Request, repeatable bool) (*http.Response, error) {
 	transport := c.pooled
 	if !repeatable {
@@ -109,13 +110,13 @@
 	return resp, nil
 }
 
-// Close ends idle connections.
+// Close closes idle connections.
 func (c *Client) Close() {
 	c.pooled.CloseIdleConnections()
 	c.unpooled.CloseIdleConnections()
 }
 
-// NotSent reports whether err says that the request can't have left.
+// NotSent reports whether err means that no part of the request was sent.
 func NotSent(err error) bool {
 	var f *RequestError
 	return errors.As(err, &f) && !f.Sent
--- a/upstream/doc.go
+++ b/upstream/doc.go
@@ -1,3 +1,3 @@
-// Package upstream sends requests to engines and plain services and tells, for
-// each failure, whether the request can have reached them.
+// Package upstream sends requests to engines and plain services and reports, for each
+// failure, whether the request may have reached them.
 package upstream
--- a/upstream/exchange.go
+++ b/upstream/exchange.go
@@ -10,56 +10,57 @@
 	"time"
 )
 
-// Request is a request to an upstream, as it goes on the wire.
+// Request is a request to an upstream, as sent on the wire.
 type Request struct {
 	Address string
 	Method  string
-	// URI is the path and query as the caller sent them.
+	// URI is the path and query, unchanged from the caller's request.
 	URI    string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// IDHeader names the header that carries ID in both directions. An answer
-	// with another value belongs to another request.
+	// IDHeader is the name of the header that carries ID in both directions. A
+	// response with another value belongs to another request.
 	IDHeader, ID string
-	// Started names the start of the upstream that is meant, 0 if it isn't known. An
-	// idle connection that was opened to another start isn't used.
+	// Started is the start time of the intended incarnation of the upstream, 0 if it is
+	// unknown. An idle connection opened to another incarnation isn't used.
 	Started int64
-	// Repeatable calls may use any idle connection.
+	// Repeatable requests may use any idle connection.
 	Repeatable bool
 }
 
-// Response is an upstream's answer. Close must be called.
+// Response is a response from an upstream. Close must be called.
 type Response struct {
 	Status int
 	Header http.Header
-	// BodyLength of the body, -1 if it isn't known.
+	// BodyLength is the length of the body in bytes, -1 if it is unknown.
 	BodyLength int64
 	body       io.ReadCloser
 	conn       *poolConn
 	pool       *Pool
 	resp       *http.Response
 	stop       func() bool
-	// written is closed once the whole request has been written.
+	// written is closed once the request has been written completely.
 	written  chan struct{}
 	complete bool
 	closed   bool
 }
 
-// ErrMismatchedResponse is an answer that belongs to another request.
-var ErrMismatchedResponse = errors.New("upstream: the answer is to another request")
+// ErrMismatchedResponse is returned for a response that belongs to another request.
+var ErrMismatchedResponse = errors.New("upstream: response belongs to another request")
 
-// maxMismatched is how many answers to other requests are passed over. Upstreams
-// may repeat one answer; more are a sign that the connection is out of step.
+// maxMismatched is the maximum number of responses to other requests that are skipped.
+// Upstreams may repeat a response; more indicate that the connection is out of sync.
 const maxMismatched = 2
 
-// maxInlineBody is written beside reading: an upstream may answer before it has
-// read a long body, and both sides' windows are small.
+// maxInlineBody is the maximum size in bytes of a body that is written before the
+// response is read. A larger one is written concurrently: an upstream may respond
+// before it has read the whole body, and the TCP windows of both sides are small.
 const maxInlineBody = 16 << 10
 
-// Do sends a call. An error is always a *Failure, which tells whether any of
-// the request can have left. When ctx ends, the connection is closed, which
-// cancels the request at the upstream.
+// Do sends a request. Errors are always of type *RequestError, which records whether
+// any part of the request may have been sent. When ctx ends, the connection is closed,
+// which cancels the request at the upstream.
 func (p *Pool) Do(ctx context.Context, request *Request) (*Response, error) {
 	maxIdle := p.cfg.MaxIdleNonRepeatable
 	if request.Repeatable {
@@ -75,8 +76,8 @@
 			return resp, nil
 		}
 		_ = c.Close()
-		// An idle connection that broke before a byte left says nothing of the
-		// upstream: a new one may work.
+		// An idle connection that broke before any byte was sent does not indicate
+		// that the upstream has failed: a new connection may work.
 		if c.reused && NotSent(err) && ctx.Err() == nil {
 			continue
 		}
@@ -101,7 +102,7 @@
 	return r, nil
 }
 
-// write sends the head and the body.
+// write writes the request's header and body.
 func (r *Response) write(c *poolConn, request *Request) error {
 	var head bytes.Buffer
 	head.Grow(1<<10 + min(len(request.Body), maxInlineBody))
@@ -125,7 +126,7 @@
 		return nil
 	}
 	go func() {
-		// A failed write shows where the answer is read.
+		// A write error surfaces when the response is read.
 		if _, err := c.Write(request.Body); err == nil {
 			close(r.written)
 		}
@@ -133,7 +134,7 @@
 	return nil
 }
 
-// readResponse reads the head of the answer that belongs to the call.
+// readResponse reads the header of the response that belongs to the request.
 func readResponse(c *poolConn, request *Request) (*http.Response, error) {
 	req := &http.Request{Method: request.Method}
 	for range maxMismatched + 1 {
@@ -152,7 +153,7 @@
 	return nil, ErrMismatchedResponse
 }
 
-// readFinalResponse passes over interim answers (status 1xx).
+// readFinalResponse reads a response header, skipping interim responses (status 1xx).
 func readFinalResponse(c *poolConn, req *http.Request) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(c.br, req)
@@ -165,7 +166,7 @@
 	}
 }
 
-// Read implements io.Reader on the body. io.EOF means that the whole body came.
+// Read implements io.Reader on the body. It returns io.EOF only if the body is complete.
 func (r *Response) Read(b []byte) (int, error) {
 	n, err := r.body.Read(b)
 	if err == io.EOF {
@@ -174,15 +175,15 @@
 	return n, err
 }
 
-// Complete reports whether the body ended as it should.
+// Complete reports whether the body was read to its regular end.
 func (r *Response) Complete() bool { return r.complete }
 
-// Buffered reports whether more of the body can be read without waiting.
+// Buffered reports whether more data can be read without blocking.
 func (r *Response) Buffered() bool { return r.conn.br.Buffered() > 0 }
 
-// Close ends the use of the connection. It is kept for another request only if
-// the answer ended cleanly, nothing is left unread and the request was written
-// to its end; else the next answer would be read out of step.
+// Close returns the connection to the pool if the response is complete, no data is left
+// unread and the request was written completely. Otherwise it closes the connection:
+// the next request would read data that doesn't belong to its response.
 func (r *Response) Close() {
 	if r.closed {
 		return
--- a/upstream/idle.go
+++ b/upstream/idle.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// ErrIdleTimeout ends the body of an answer that stopped coming.
-var ErrIdleTimeout = errors.New("upstream: connection went silent")
+// ErrIdleTimeout is the cancellation cause of a response whose body stopped arriving.
+var ErrIdleTimeout = errors.New("upstream: idle timeout while reading the response")
 
-// idleBody ends an answer that has been silent for too long. Only time spent
-// waiting for the upstream counts, so a slow caller cuts nothing.
+// idleBody cancels a response that sends no data for timeout. Only time spent waiting
+// for the upstream counts, so a slow caller doesn't cause a timeout.
 type idleBody struct {
 	body    io.ReadCloser
 	timeout time.Duration
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -16,27 +16,28 @@
 
 // PoolConfig tunes a Pool.
 type PoolConfig struct {
-	// DialTimeout bounds a new connection. An upstream without power doesn't
-	// answer at all; one that is only busy accepts within milliseconds.
+	// DialTimeout limits the time to open a connection. An upstream without power
+	// doesn't respond at all; one that is only busy accepts within milliseconds.
 	DialTimeout time.Duration
-	// IdleTimeout is how long a connection waits for reuse if the upstream doesn't say
-	// for how long it keeps it.
+	// IdleTimeout is how long an idle connection is kept if the upstream sends no
+	// Keep-Alive timeout.
 	IdleTimeout time.Duration
-	// KeepAliveMargin is how much sooner than the upstream the pool closes an idle
-	// connection, so that no request is sent into its end.
+	// KeepAliveMargin is how much earlier than the upstream the pool closes an idle
+	// connection, so that no request is sent while the upstream closes it.
 	KeepAliveMargin time.Duration
-	// MaxIdleNonRepeatable is how recently a connection must have been used to carry a
-	// request that must not be repeated. An upstream may drop an idle connection
-	// without notice; what is sent next is lost and nobody knows if it ran.
+	// MaxIdleNonRepeatable is the maximum idle time of a connection that is reused for
+	// a request that must not be repeated. An upstream may drop an idle connection
+	// without notice; the next request is then lost and may or may not have been
+	// executed.
 	MaxIdleNonRepeatable time.Duration
-	// TCPUserTimeout is how long sent bytes may go without acknowledgement before the
-	// connection counts as broken. A path that has gone silent shows no other way.
+	// TCPUserTimeout is how long sent data may remain unacknowledged before the
+	// connection is closed. There is no other sign of a path that drops all packets.
 	TCPUserTimeout time.Duration
-	// MaxIdlePerUpstream is how many connections to one upstream wait for reuse.
+	// MaxIdlePerUpstream is the maximum number of idle connections per upstream.
 	MaxIdlePerUpstream int
 }
 
-// DefaultPoolConfig returns settings for upstreams of the same region.
+// DefaultPoolConfig returns the configuration for upstreams of the same region.
 func DefaultPoolConfig() PoolConfig {
 	return PoolConfig{
 		DialTimeout:          400 * time.Millisecond,
@@ -48,8 +49,8 @@
 	}
 }
 
-// Pool keeps connections to upstreams. Unlike http.Transport it never sends a
-// request twice, and it tells by bytes whether a request can have left.
+// Pool manages connections to upstreams. Unlike http.Transport it never sends a request
+// twice, and it determines from the bytes written whether a request may have been sent.
 type Pool struct {
 	cfg    PoolConfig
 	dialer net.Dialer
@@ -58,7 +59,7 @@
 	dials  int64
 }
 
-// NewPool returns a pool. Sweep must be called now and then.
+// NewPool returns a pool. CloseExpired must be called periodically.
 func NewPool(cfg PoolConfig) *Pool {
 	p := &Pool{cfg: cfg, idle: map[string][]*poolConn{}}
 	p.dialer = net.Dialer{
@@ -69,7 +70,7 @@
 	return p
 }
 
-// setUserTimeout sets the bound on unacknowledged bytes.
+// setUserTimeout sets TCP_USER_TIMEOUT on a new socket.
 func (p *Pool) setUserTimeout(_, _ string, c syscall.RawConn) error {
 	var setErr error
 	err := c.Control(func(fd uintptr) {
@@ -81,35 +82,35 @@
 	return setErr
 }
 
-// Dials is the number of connections opened.
+// Dials returns the number of attempts to open a connection.
 func (p *Pool) Dials() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.dials
 }
 
-// poolConn is one connection. It carries one request at a time.
+// poolConn is a pooled connection. It carries one request at a time.
 type poolConn struct {
 	net.Conn
 	br   *bufio.Reader
 	addr string
-	// started is the start of the upstream to which it was opened.
+	// started is the start time of the incarnation to which the connection was opened.
 	started  int64
 	lastUsed time.Time
-	// expires is when the connection is closed if it is still idle.
+	// expires is the time at which the connection is closed if it is still idle.
 	expires time.Time
 	reused  bool
 }
 
-// readBufferSize is the size of a connection's read buffer: an answer's head and
-// several events fit.
+// readBufferSize is the size of a connection's read buffer in bytes. A response header
+// and several events fit into it.
 const readBufferSize = 2 << 10
 
 // get returns a connection that was last used within maxIdle, or a new one.
 //
-// A connection to an earlier start of the upstream isn't used. After a loss of power
-// nothing has closed it; what is sent on it meets a reset, and nobody knows that it
-// didn't run.
+// A connection to an earlier incarnation of the upstream isn't used. After a power loss
+// nothing has closed it; a request sent on it is reset, and the pool can't determine
+// that it was not executed.
 func (p *Pool) get(ctx context.Context, request *Request, maxIdle time.Duration) (*poolConn, error) {
 	addr := request.Address
 	for c := p.popIdle(addr); c != nil; c = p.popIdle(addr) {
@@ -130,7 +131,8 @@
 	return &poolConn{Conn: conn, br: bufio.NewReaderSize(conn, readBufferSize), addr: addr, started: request.Started}, nil
 }
 
-// popIdle removes the connection that was used last.
+// popIdle removes and returns the most recently used idle connection, or nil if there is
+// none.
 func (p *Pool) popIdle(addr string) *poolConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -143,7 +145,7 @@
 	return c
 }
 
-// put keeps a connection whose last answer ended cleanly.
+// put returns a connection to the pool after a complete response.
 func (p *Pool) put(c *poolConn, resp *http.Response) {
 	idle := p.idleTimeout(resp)
 	if idle <= 0 {
@@ -161,7 +163,7 @@
 	p.idle[c.addr] = append(p.idle[c.addr], c)
 }
 
-// idleTimeout is how long a connection may wait after an answer.
+// idleTimeout returns how long a connection may stay idle after a response.
 func (p *Pool) idleTimeout(resp *http.Response) time.Duration {
 	for part := range strings.SplitSeq(resp.Header.Get("Keep-Alive"), ",") {
 		value, found := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
@@ -175,8 +177,9 @@
 	return p.cfg.IdleTimeout
 }
 
-// noUnreadData reports whether nothing has arrived on an idle connection. An upstream
-// may send a second answer after the first, or close: both end its use.
+// noUnreadData reports whether an idle connection is open and has received no data. An
+// upstream may send a second response after the first, or close the connection; in both
+// cases it must not be reused.
 func (c *poolConn) noUnreadData() bool {
 	if c.br.Buffered() > 0 {
 		return false
@@ -199,7 +202,7 @@
 	return err == nil && noData
 }
 
-// CloseExpired closes connections that have waited long enough.
+// CloseExpired closes the idle connections that have expired by now.
 func (p *Pool) CloseExpired(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -220,5 +223,5 @@
 	}
 }
 
-// Close ends idle connections.
+// Close closes idle connections.
 func (p *Pool) Close() { p.CloseExpired(time.Now().Add(time.Hour)) }
--- a/upstream/pool_test.go
+++ b/upstream/pool_test.go
@@ -16,14 +16,13 @@
 	"github.com/aspenswitch/aspenswitch/upstream"
 )
 
-// fakeUpstream is an upstream that reads requests and answers each connection's by
-// a script of its own.
+// fakeUpstream accepts connections and runs a script on each.
 type fakeUpstream struct {
 	listener net.Listener
 	conns    chan net.Conn
 }
 
-// serve runs script on each connection that is accepted.
+// serve starts an upstream that runs script on each accepted connection.
 func serve(t *testing.T, script func(c net.Conn, r *bufio.Reader)) *fakeUpstream {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -94,9 +93,9 @@
 	g.Expect(<-uris).To(Equal("/p//a%2fb?x=1 h.example hello"))
 }
 
-// The caller would get another caller's answer. The upstream sends a second
-// answer after the first; it arrives just as the connection is used again, where
-// the next answer is due. The id tells whose it is.
+// A caller would receive another caller's response: the upstream sends a second
+// response after the first, and it arrives when the connection is already reused. The
+// response must be matched to the request by its ID.
 func TestExtraAnswerIsNotTakenForTheNextOne(t *testing.T) {
 	g := NewWithT(t)
 	s := serve(t, func(c net.Conn, r *bufio.Reader) {
@@ -117,10 +116,10 @@
 		g.Expect(io.ReadAll(a)).To(Equal([]byte("right" + id)))
 		a.Close()
 	}
-	g.Expect(s.conns).To(HaveLen(1), "the connection was used twice")
+	g.Expect(s.conns).To(HaveLen(1), "the connection was reused")
 }
 
-// An extra answer that has already arrived ends the connection's use.
+// A connection that has already received an extra response must not be reused.
 func TestConnectionWithUnreadBytesIsNotUsedAgain(t *testing.T) {
 	g := NewWithT(t)
 	s := serve(t, func(c net.Conn, r *bufio.Reader) {
@@ -142,7 +141,8 @@
 	g.Expect(s.conns).To(HaveLen(2))
 }
 
-// "Not run" would be a lie: the upstream got the request and broke off.
+// The upstream reads the request and closes the connection. The request must not be
+// reported as not executed.
 func TestBrokenConnectionAfterSendingCountsAsSent(t *testing.T) {
 	g := NewWithT(t)
 	s := serve(t, func(_ net.Conn, r *bufio.Reader) { _, _, _ = readRequest(r) })
@@ -160,7 +160,8 @@
 	g.Expect(upstream.NotSent(err)).To(BeTrue())
 }
 
-// A cut answer must not look whole: the upstream announces more than it sends.
+// The upstream sends less than its Content-Length. A truncated response must not count
+// as complete.
 func TestAnswerThatIsCutIsNotWhole(t *testing.T) {
 	g := NewWithT(t)
 	s := serve(t, func(c net.Conn, r *bufio.Reader) {
@@ -175,7 +176,7 @@
 	g.Expect(a.Complete()).To(BeFalse())
 }
 
-// An answer without a length is whole if the connection is closed, and broken
+// A response without a length is complete if the connection is closed, and incomplete
 // if it is reset.
 func TestUnframedAnswerThatIsResetIsNotWhole(t *testing.T) {
 	for name, reset := range map[string]bool{"closed": false, "reset": true} {
@@ -204,9 +205,9 @@
 	}
 }
 
-// Another request's bytes would be read as the rest of this body. The upstream
-// rejects a long request before it has read it and goes on reading; the
-// connection must not carry anything else.
+// The upstream rejects a long request before it has read its body and continues to read.
+// The bytes of another request on this connection would be read as part of the body, so
+// the connection must not be reused.
 func TestEarlyAnswerToALongBodyEndsTheConnection(t *testing.T) {
 	g := NewWithT(t)
 	hold := make(chan struct{})
@@ -230,8 +231,8 @@
 	g.Expect(s.conns).To(HaveLen(2))
 }
 
-// A request that must not be repeated would be lost on a connection that the
-// upstream has dropped without notice; it goes on one that was used just now.
+// A request that must not be repeated would be lost on a connection that the upstream
+// has dropped without notice, so it must use a new or recently used connection.
 func TestUnrepeatableCallsUseFreshConnections(t *testing.T) {
 	g := NewWithT(t)
 	s := serve(t, func(c net.Conn, r *bufio.Reader) {
@@ -259,9 +260,9 @@
 	g.Expect(p.Dials()).To(Equal(int64(2)))
 }
 
-// An upstream loses power and starts again under its name and address. Nothing has
-// closed the connection of before; what is sent on it would be lost, and nobody could
-// say that it didn't run. The next call opens a new one.
+// An upstream loses power and restarts with the same name and address. Nothing has
+// closed the old connection; a request sent on it would be lost, and it would be unknown
+// whether it was executed. The next request must open a new connection.
 func TestConnectionToAnEarlierStartIsNotUsedAgain(t *testing.T) {
 	g := NewWithT(t)
 	s := serve(t, func(c net.Conn, r *bufio.Reader) {
@@ -286,8 +287,8 @@
 	g.Expect(p.Dials()).To(Equal(int64(2)))
 }
 
-// The upstream would go on working for nobody: when the caller leaves, its
-// connection is closed, also while the answer is awaited.
+// The upstream would continue to process an abandoned request: when the caller
+// disconnects, the upstream connection must be closed, also before the response arrives.
 func TestCancelledCallClosesTheConnection(t *testing.T) {
 	g := NewWithT(t)
 	closed := make(chan struct{})
@@ -306,8 +307,8 @@
 	g.Eventually(closed, 5*time.Second).Should(BeClosed())
 }
 
-// What upstreams send is read without a crash, and a body never grows past what
-// was announced.
+// Arbitrary data from an upstream must not cause a crash, and a complete body must have
+// the announced length.
 func FuzzAnswers(f *testing.F) {
 	f.Add([]byte(response("1", "ok")))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nId: 1\r\n\r\n2\r\nab\r\n0\r\n\r\n"))
@@ -324,11 +325,11 @@
 		}
 		defer a.Close()
 		if a.Header.Get("Id") != "1" {
-			t.Fatal("an answer to another request was passed on")
+			t.Fatal("a response to another request was returned")
 		}
 		body, err := io.ReadAll(a)
 		if err == nil && a.BodyLength >= 0 && int64(len(body)) != a.BodyLength {
-			t.Fatalf("%d bytes of %d count as whole", len(body), a.BodyLength)
+			t.Fatalf("body of %d bytes counts as complete, want %d bytes", len(body), a.BodyLength)
 		}
 	})
 }
