--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -88,16 +88,16 @@
 func TestStateExpiresWhenPlatformStopsResponding(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		var cut atomic.Bool
+		var unresponsive atomic.Bool
 		f := start(t, &fakeSource{list: listOf(3, configChange(3)), watch: func(ctx context.Context, after int64, wait time.Duration) (feed.Batch, error) {
-			if cut.Load() {
+			if unresponsive.Load() {
 				return watchUnanswered(ctx, after, wait)
 			}
 			return watchUnchanged(ctx, after, wait)
 		}})
 		time.Sleep(10 * time.Second)
 		g.Expect(f.Fresh()).To(BeTrue())
-		cut.Store(true)
+		unresponsive.Store(true)
 		time.Sleep(revoke)
 		g.Expect(f.Fresh()).To(BeFalse())
 	})
@@ -165,8 +165,8 @@
 	g := NewWithT(t)
 	now := boottime.Time(time.Hour)
 	f := feed.New(feed.DefaultConfig(revoke, apply), &fakeSource{}, func() boottime.Time { return now }, zerolog.Nop(), func() bool { return false }, func() {})
-	asked := now.Add(-2 * time.Second)
-	f.Import(&feed.PeerState{Revision: 4, AgeNanos: int64(time.Second), Config: &routing.Config{Version: 1}}, asked)
+	requestedAt := now.Add(-2 * time.Second)
+	f.Import(&feed.PeerState{Revision: 4, AgeNanos: int64(time.Second), Config: &routing.Config{Version: 1}}, requestedAt)
 	g.Expect(f.Age()).To(Equal(3 * time.Second))
 	g.Expect(f.ConfirmRevision(4, now.Add(-time.Second))).To(BeFalse())
 	g.Expect(f.Age()).To(Equal(time.Second))
@@ -184,8 +184,8 @@
 	g := NewWithT(t)
 	now := boottime.Time(time.Hour)
 	f := feed.New(feed.DefaultConfig(revoke, apply), &fakeSource{}, func() boottime.Time { return now }, zerolog.Nop(), func() bool { return false }, func() {})
-	asked := now.Add(-time.Second)
-	f.Import(&feed.PeerState{Revision: 4, Config: &routing.Config{Version: 1}, Upstreams: []registry.Upstream{{ID: "leaves", Revision: 2}}}, asked)
+	requestedAt := now.Add(-time.Second)
+	f.Import(&feed.PeerState{Revision: 4, Config: &routing.Config{Version: 1}, Upstreams: []registry.Upstream{{ID: "leaves", Revision: 2}}}, requestedAt)
 	f.Import(&feed.PeerState{Revision: 9, Since: 7, Upstreams: []registry.Upstream{{ID: "comes", Revision: 8}}}, now)
 	g.Expect(f.StateVersion().Revision).To(Equal(int64(4)))
 	g.Expect(f.Snapshot().View.Upstream("comes")).To(BeNil())
--- a/feed/lapse_test.go
+++ b/feed/lapse_test.go
@@ -54,11 +54,11 @@
 		g := NewWithT(t)
 		begin := time.Now()
 		clock := func() boottime.Time { return boottime.Time(time.Since(begin) + time.Hour) }
-		var cut atomic.Bool
+		var unreachable atomic.Bool
 		f := feed.New(feed.DefaultConfig(revoke, apply), &fakeSource{
 			list: listOf(3, configChange(3), upstreamChange("leaves", 2)),
 			watch: func(ctx context.Context, after int64, wait time.Duration) (feed.Batch, error) {
-				if cut.Load() {
+				if unreachable.Load() {
 					return feed.Batch{}, errors.New("platform unreachable")
 				}
 				if after < 5 {
@@ -67,7 +67,7 @@
 				return watchUnchanged(ctx, after, wait)
 			},
 		}, clock, zerolog.Nop(), func() bool { return true }, func() {})
-		cut.Store(true)
+		unreachable.Store(true)
 		ctx, cancel := context.WithCancel(context.Background())
 		t.Cleanup(cancel)
 		go f.Run(ctx)
@@ -76,7 +76,7 @@
 			f.ConfirmRevision(3, clock())
 		}
 		g.Expect(f.Snapshot().View.Upstream("leaves")).NotTo(BeNil())
-		cut.Store(false)
+		unreachable.Store(false)
 		time.Sleep(feed.DefaultConfig(revoke, apply).BackoffMax + 100*time.Millisecond)
 		g.Expect(f.Snapshot().View.Upstream("leaves")).To(BeNil())
 	})
--- a/feed/peer.go
+++ b/feed/peer.go
@@ -57,62 +57,62 @@
 	if s == nil {
 		return nil
 	}
-	e := &PeerState{Revision: s.Revision, AgeNanos: int64(age), Evacuated: f.upstreams.Evacuated()}
-	f.exportUpstreams(e, s, known.Revision)
+	state := &PeerState{Revision: s.Revision, AgeNanos: int64(age), Evacuated: f.upstreams.Evacuated()}
+	f.exportUpstreams(state, s, known.Revision)
 	now := f.now()
 	for id, expiry := range f.upstreams.Lapsed() {
-		if e.Lapsed == nil {
-			e.Lapsed = map[string]int64{}
+		if state.Lapsed == nil {
+			state.Lapsed = map[string]int64{}
 		}
-		e.Lapsed[id] = int64(expiry.Sub(now))
+		state.Lapsed[id] = int64(expiry.Sub(now))
 	}
 	if s.ConfigVersion() > known.ConfigVersion {
-		e.Config = s.Table.Config
+		state.Config = s.Table.Config
 	}
-	return e
+	return state
 }
 
 // exportUpstreams adds the upstreams changed after the revision since to e, or all
 // upstreams if the change log no longer covers it.
-func (f *Feed) exportUpstreams(e *PeerState, s *Snapshot, since int64) {
+func (f *Feed) exportUpstreams(state *PeerState, s *Snapshot, since int64) {
 	ids, complete := f.changes.since(since)
 	if !complete || since == 0 {
-		e.Upstreams = s.View.All()
+		state.Upstreams = s.View.All()
 		return
 	}
-	e.Since = since
+	state.Since = since
 	for id := range ids {
 		if u, found := f.upstreams.Get(id); found {
-			e.Upstreams = append(e.Upstreams, u)
+			state.Upstreams = append(state.Upstreams, u)
 		} else {
-			e.Gone = append(e.Gone, id)
+			state.Gone = append(state.Gone, id)
 		}
 	}
 }
 
 // Import applies a peer's state that was requested at requestedAt. The request time,
 // less the age that the peer reports, becomes the confirmation time.
-func (f *Feed) Import(e *PeerState, requestedAt boottime.Time) {
+func (f *Feed) Import(state *PeerState, requestedAt boottime.Time) {
 	f.mu.Lock()
 	changed := false
-	if e.Config != nil {
-		changed = f.applyConfig(e.Config)
+	if state.Config != nil {
+		changed = f.applyConfig(state.Config)
 	}
-	if e.Revision > f.revision && f.importUpstreams(e) {
-		for id, remaining := range e.Lapsed {
+	if state.Revision > f.revision && f.importUpstreams(state) {
+		for id, remaining := range state.Lapsed {
 			f.upstreams.Lapse(id, requestedAt.Add(time.Duration(remaining)))
 		}
-		f.revision = e.Revision
+		f.revision = state.Revision
 		changed = true
-		f.log.Info().Str("event", "peer_state").Int64("revision", e.Revision).Int64("since", e.Since).
-			Int("upstreams", len(e.Upstreams)).Int("gone", len(e.Gone)).Int64("age_ms", e.AgeNanos/1e6).Msg("applied state from peer")
+		f.log.Info().Str("event", "peer_state").Int64("revision", state.Revision).Int64("since", state.Since).
+			Int("upstreams", len(state.Upstreams)).Int("gone", len(state.Gone)).Int64("age_ms", state.AgeNanos/1e6).Msg("applied state from peer")
 	}
 	// A state that could not be applied doesn't confirm the current one.
-	upToDate := e.Revision == f.revision
+	upToDate := state.Revision == f.revision
 	f.publish(changed)
 	f.mu.Unlock()
 	if upToDate {
-		f.confirm(requestedAt - boottime.Time(e.AgeNanos))
+		f.confirm(requestedAt - boottime.Time(state.AgeNanos))
 	}
 	if changed {
 		f.onChange()
@@ -122,34 +122,34 @@
 // importUpstreams applies a peer's upstreams. It returns false and applies nothing if
 // the changes start after the current revision: those in between would be lost
 // permanently.
-func (f *Feed) importUpstreams(e *PeerState) bool {
+func (f *Feed) importUpstreams(state *PeerState) bool {
 	now := f.now()
-	if e.Since == 0 {
-		f.changes.reset(e.Revision)
+	if state.Since == 0 {
+		f.changes.reset(state.Revision)
 		listed := map[string]bool{}
-		for _, u := range e.Upstreams {
+		for _, u := range state.Upstreams {
 			listed[u.ID] = true
 			f.upstreams.Put(now, u)
 		}
 		for _, id := range f.upstreams.Missing(listed) {
-			f.upstreams.Delete(id, e.Revision)
+			f.upstreams.Delete(id, state.Revision)
 		}
-		f.upstreams.ReplaceEvacuations(now, e.Evacuated, e.Revision)
+		f.upstreams.ReplaceEvacuations(now, state.Evacuated, state.Revision)
 		return true
 	}
-	if e.Since > f.revision {
+	if state.Since > f.revision {
 		return false
 	}
-	f.upstreams.ReplaceEvacuations(now, e.Evacuated, e.Revision)
-	for _, u := range e.Upstreams {
+	f.upstreams.ReplaceEvacuations(now, state.Evacuated, state.Revision)
+	for _, u := range state.Upstreams {
 		f.upstreams.Put(now, u)
 		// A lapse has no revision of its own, and the entry's revision is older than
 		// the lapse.
-		f.changes.add(e.Revision, u.ID)
+		f.changes.add(state.Revision, u.ID)
 	}
-	for _, id := range e.Gone {
-		f.upstreams.Delete(id, e.Revision)
-		f.changes.add(e.Revision, id)
+	for _, id := range state.Gone {
+		f.upstreams.Delete(id, state.Revision)
+		f.changes.add(state.Revision, id)
 	}
 	return true
 }
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -75,15 +75,15 @@
 }
 
 // Error implements error.
-func (f *RequestError) Error() string {
-	if f.Sent {
-		return "upstream: request failed after sending: " + f.Cause.Error()
+func (e *RequestError) Error() string {
+	if e.Sent {
+		return "upstream: request failed after sending: " + e.Cause.Error()
 	}
-	return "upstream: request not sent: " + f.Cause.Error()
+	return "upstream: request not sent: " + e.Cause.Error()
 }
 
 // Unwrap returns the cause.
-func (f *RequestError) Unwrap() error { return f.Cause }
+func (e *RequestError) Unwrap() error { return e.Cause }
 
 // Do sends a request and returns the response once its header has arrived. Reads of the
 // body fail after Config.IdleTimeout without data.
@@ -118,6 +118,6 @@
 
 // NotSent reports whether err means that no part of the request was sent.
 func NotSent(err error) bool {
-	var f *RequestError
-	return errors.As(err, &f) && !f.Sent
+	var e *RequestError
+	return errors.As(err, &e) && !e.Sent
 }
--- a/upstream/pool_test.go
+++ b/upstream/pool_test.go
@@ -86,10 +86,10 @@
 		uris <- req.RequestURI + " " + req.Host + " " + body
 		_, _ = io.WriteString(c, response("1", "ok"))
 	})
-	a, err := newPool(t).Do(context.Background(), s.request("1", "hello"))
+	resp, err := newPool(t).Do(context.Background(), s.request("1", "hello"))
 	g.Expect(err).NotTo(HaveOccurred())
-	defer a.Close()
-	g.Expect(io.ReadAll(a)).To(Equal([]byte("ok")))
+	defer resp.Close()
+	g.Expect(io.ReadAll(resp)).To(Equal([]byte("ok")))
 	g.Expect(<-uris).To(Equal("/p//a%2fb?x=1 h.example hello"))
 }
 
@@ -111,10 +111,10 @@
 	})
 	p := newPool(t)
 	for _, id := range []string{"1", "2"} {
-		a, err := p.Do(context.Background(), s.request(id, ""))
+		resp, err := p.Do(context.Background(), s.request(id, ""))
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(io.ReadAll(a)).To(Equal([]byte("right" + id)))
-		a.Close()
+		g.Expect(io.ReadAll(resp)).To(Equal([]byte("right" + id)))
+		resp.Close()
 	}
 	g.Expect(s.conns).To(HaveLen(1), "the connection was reused")
 }
@@ -133,10 +133,10 @@
 	})
 	p := newPool(t)
 	for _, id := range []string{"1", "2"} {
-		a, err := p.Do(context.Background(), s.request(id, ""))
+		resp, err := p.Do(context.Background(), s.request(id, ""))
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(io.ReadAll(a)).To(Equal([]byte("right")))
-		a.Close()
+		g.Expect(io.ReadAll(resp)).To(Equal([]byte("right")))
+		resp.Close()
 	}
 	g.Expect(s.conns).To(HaveLen(2))
 }
@@ -168,12 +168,12 @@
 		_, _, _ = readRequest(r)
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 10\r\n\r\nhalf")
 	})
-	a, err := newPool(t).Do(context.Background(), s.request("1", ""))
+	resp, err := newPool(t).Do(context.Background(), s.request("1", ""))
 	g.Expect(err).NotTo(HaveOccurred())
-	defer a.Close()
-	_, err = io.ReadAll(a)
+	defer resp.Close()
+	_, err = io.ReadAll(resp)
 	g.Expect(err).To(MatchError(io.ErrUnexpectedEOF))
-	g.Expect(a.Complete()).To(BeFalse())
+	g.Expect(resp.Complete()).To(BeFalse())
 }
 
 // A response without a length is complete if the connection is closed, and incomplete
@@ -191,16 +191,16 @@
 					_ = c.(*net.TCPConn).SetLinger(0)
 				}
 			})
-			a, err := newPool(t).Do(context.Background(), s.request("1", ""))
+			resp, err := newPool(t).Do(context.Background(), s.request("1", ""))
 			g.Expect(err).NotTo(HaveOccurred())
-			defer a.Close()
+			defer resp.Close()
 			part := make([]byte, 4)
-			_, err = io.ReadFull(a, part)
+			_, err = io.ReadFull(resp, part)
 			g.Expect(err).NotTo(HaveOccurred())
 			close(got)
-			_, err = io.ReadAll(a)
+			_, err = io.ReadAll(resp)
 			g.Expect(err != nil).To(Equal(reset))
-			g.Expect(a.Complete()).To(Equal(!reset))
+			g.Expect(resp.Complete()).To(Equal(!reset))
 		})
 	}
 }
@@ -223,10 +223,10 @@
 	p := newPool(t)
 	long := strings.Repeat("x", 8<<20)
 	for _, id := range []string{"1", "2"} {
-		a, err := p.Do(context.Background(), s.request(id, long))
+		resp, err := p.Do(context.Background(), s.request(id, long))
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(io.ReadAll(a)).To(Equal([]byte("no")))
-		a.Close()
+		g.Expect(io.ReadAll(resp)).To(Equal([]byte("no")))
+		resp.Close()
 	}
 	g.Expect(s.conns).To(HaveLen(2))
 }
@@ -251,11 +251,11 @@
 	for _, id := range []string{"1", "2"} {
 		call := s.request(id, "")
 		call.Repeatable = false
-		a, err := p.Do(context.Background(), call)
+		resp, err := p.Do(context.Background(), call)
 		g.Expect(err).NotTo(HaveOccurred())
-		_, err = io.ReadAll(a)
+		_, err = io.ReadAll(resp)
 		g.Expect(err).NotTo(HaveOccurred())
-		a.Close()
+		resp.Close()
 	}
 	g.Expect(p.Dials()).To(Equal(int64(2)))
 }
@@ -278,11 +278,11 @@
 	for i, started := range []int64{1000, 1000, 2000} {
 		call := s.request(itoa(i), "")
 		call.Started = started
-		a, err := p.Do(context.Background(), call)
+		resp, err := p.Do(context.Background(), call)
 		g.Expect(err).NotTo(HaveOccurred())
-		_, err = io.ReadAll(a)
+		_, err = io.ReadAll(resp)
 		g.Expect(err).NotTo(HaveOccurred())
-		a.Close()
+		resp.Close()
 	}
 	g.Expect(p.Dials()).To(Equal(int64(2)))
 }
@@ -319,17 +319,17 @@
 			_, _, _ = readRequest(r)
 			_, _ = c.Write(raw)
 		})
-		a, err := newPool(t).Do(context.Background(), s.request("1", ""))
+		resp, err := newPool(t).Do(context.Background(), s.request("1", ""))
 		if err != nil {
 			return
 		}
-		defer a.Close()
-		if a.Header.Get("Id") != "1" {
+		defer resp.Close()
+		if resp.Header.Get("Id") != "1" {
 			t.Fatal("a response to another request was returned")
 		}
-		body, err := io.ReadAll(a)
-		if err == nil && a.BodyLength >= 0 && int64(len(body)) != a.BodyLength {
-			t.Fatalf("body of %d bytes counts as complete, want %d bytes", len(body), a.BodyLength)
+		body, err := io.ReadAll(resp)
+		if err == nil && resp.BodyLength >= 0 && int64(len(body)) != resp.BodyLength {
+			t.Fatalf("body of %d bytes counts as complete, want %d bytes", len(body), resp.BodyLength)
 		}
 	})
 }
