--- a/membership/view.go
+++ b/membership/view.go
@@ -6,22 +6,24 @@
 	"time"
 )
 
-// View is one router's view of the fleet. It is not safe for concurrent use.
+// View is one router's view of the fleet's membership. It is not safe for concurrent
+// use.
 type View struct {
 	self string
-	// suspectAfter is the silence after which a VM no longer counts as live.
+	// suspectAfter is the time without messages after which a VM no longer counts as
+	// live.
 	suspectAfter time.Duration
 	members      map[string]*member
 	leaving      bool
 }
 
-// NewView returns the view of a router that knows only itself.
+// NewView returns a view whose only member is the router itself.
 func NewView(self string, suspectAfter time.Duration) *View {
 	return &View{self: self, suspectAfter: suspectAfter, members: map[string]*member{}}
 }
 
-// SetList takes in the platform's list. VMs that it drops and that are silent
-// are forgotten; those still heard stay, since the list lags.
+// SetList applies the platform's list. VMs that are not listed are removed if no
+// message was ever received from them; others are kept, since the list lags.
 func (v *View) SetList(list []ListedVM) {
 	for _, m := range v.members {
 		m.listed = false
@@ -35,7 +37,7 @@
 		m.leaving = l.Leaving
 	}
 	maps.DeleteFunc(v.members, func(_ string, m *member) bool {
-		return !m.listed && m.heardAt.IsZero()
+		return !m.listed && m.lastMessageAt.IsZero()
 	})
 }
 
@@ -48,24 +50,25 @@
 	return m
 }
 
-// RecordMessage notes a message from a VM. It returns true if the VM's incarnation is a
-// new one: all that was promised by the earlier one is void.
+// RecordMessage records a message from a VM. It returns true if the VM's incarnation
+// changed: all commitments of the previous incarnation are then void.
 func (v *View) RecordMessage(now time.Time, name string, incarnation uint64, leaving bool) bool {
 	m := v.member(name)
 	changed := m.incarnation != incarnation
 	if changed {
-		m.said = false
+		m.announcedLeave = false
 	}
 	m.incarnation = incarnation
-	m.heardAt = now
-	m.said = m.said || leaving
+	m.lastMessageAt = now
+	m.announcedLeave = m.announcedLeave || leaving
 	return changed
 }
 
-// Leave marks this router as shutting down: it is no home any more.
+// Leave marks this router as shutting down: it is no longer the home of any key.
 func (v *View) Leave() { v.leaving = true }
 
-// Incarnation is the last known incarnation of a VM, 0 if it was never heard.
+// Incarnation returns the last recorded incarnation of a VM, or 0 if it never sent a
+// message.
 func (v *View) Incarnation(name string) uint64 {
 	if m, ok := v.members[name]; ok {
 		return m.incarnation
@@ -73,15 +76,15 @@
 	return 0
 }
 
-// Live returns the VMs that may be homes now, sorted; this one is among them
-// unless it is leaving.
+// Live returns the VMs that may be homes, sorted. It includes this one unless it is
+// leaving.
 func (v *View) Live(now time.Time) []string {
 	var live []string
 	if !v.leaving {
 		live = append(live, v.self)
 	}
 	for name, m := range v.members {
-		if v.heard(now, m) && !m.said && !m.leaving {
+		if v.isReachable(now, m) && !m.announcedLeave && !m.leaving {
 			live = append(live, name)
 		}
 	}
@@ -89,21 +92,22 @@
 	return live
 }
 
-func (v *View) heard(now time.Time, m *member) bool {
-	return !m.heardAt.IsZero() && now.Sub(m.heardAt) <= v.suspectAfter
+func (v *View) isReachable(now time.Time, m *member) bool {
+	return !m.lastMessageAt.IsZero() && now.Sub(m.lastMessageAt) <= v.suspectAfter
 }
 
-// Reachable reports whether the VM was heard lately, leaving or not.
+// Reachable reports whether the VM sent a message within suspectAfter, whether or not
+// it is leaving.
 func (v *View) Reachable(now time.Time, name string) bool {
 	m, ok := v.members[name]
-	return ok && v.heard(now, m)
+	return ok && v.isReachable(now, m)
 }
 
-// Peers returns every other VM that is listed or was heard lately, sorted.
+// Peers returns every other VM that is listed or reachable, sorted.
 func (v *View) Peers(now time.Time) []string {
 	var peers []string
 	for name, m := range v.members {
-		if m.listed || v.heard(now, m) {
+		if m.listed || v.isReachable(now, m) {
 			peers = append(peers, name)
 		}
 	}
@@ -111,19 +115,19 @@
 	return peers
 }
 
-// CountListed returns how many of the listed VMs are heard, and how many are
-// listed, this one in both. They differ during a partition and, until the list
-// catches up, after a crash.
-func (v *View) CountListed(now time.Time) (visible, listed int) {
-	visible, listed = 1, 1
+// CountListed returns how many of the listed VMs are reachable, and how many are
+// listed; both include this one and exclude leaving VMs. The counts differ during a
+// partition and, until the list catches up, after a crash.
+func (v *View) CountListed(now time.Time) (reachable, listed int) {
+	reachable, listed = 1, 1
 	for _, m := range v.members {
-		if !m.listed || m.leaving || m.said {
+		if !m.listed || m.leaving || m.announcedLeave {
 			continue
 		}
 		listed++
-		if v.heard(now, m) {
-			visible++
+		if v.isReachable(now, m) {
+			reachable++
 		}
 	}
-	return visible, listed
+	return reachable, listed
 }
--- a/upstream/exchange.go
+++ b/upstream/exchange.go
@@ -10,73 +10,74 @@
 	"time"
 )
 
-// Request is a request to an upstream, as it goes on the wire.
+// Request is a request to an upstream, as sent on the wire.
 type Request struct {
 	Address string
 	Method  string
-	// URI is the path and query as the caller sent them.
+	// URI is the path and query, unchanged from the caller's request.
 	URI    string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// IDHeader names the header that carries ID in both directions. An answer
-	// with another value belongs to another request.
+	// IDHeader is the name of the header that carries ID in both directions. A
+	// response with another value belongs to another request.
 	IDHeader, ID string
-	// Started names the start of the upstream that is meant, 0 if it isn't known. An
-	// idle connection that was opened to another start isn't used.
+	// Started is the start time of the intended incarnation of the upstream, 0 if it is
+	// unknown. An idle connection opened to another incarnation isn't used.
 	Started int64
-	// Repeatable calls may use any idle connection.
+	// Repeatable requests may use any idle connection.
 	Repeatable bool
 }
 
-// Response is an upstream's answer. Close must be called.
+// Response is a response from an upstream. Close must be called.
 type Response struct {
 	Status int
 	Header http.Header
-	// BodyLength of the body, -1 if it isn't known.
+	// BodyLength is the length of the body in bytes, -1 if it is unknown.
 	BodyLength int64
 	body       io.ReadCloser
 	conn       *poolConn
 	pool       *Pool
 	resp       *http.Response
 	stop       func() bool
-	// written is closed once the whole request has been written.
-	written chan struct{}
-	clean   bool
-	closed  bool
+	// written is closed once the request has been written completely.
+	written  chan struct{}
+	complete bool
+	closed   bool
 }
 
-// ErrMismatchedResponse is an answer that belongs to another request.
-var ErrMismatchedResponse = errors.New("upstream: the answer is to another request")
+// ErrMismatchedResponse is returned for a response that belongs to another request.
+var ErrMismatchedResponse = errors.New("upstream: response belongs to another request")
 
-// maxForeign is how many answers to other requests are passed over. Upstreams
-// may repeat one answer; more are a sign that the connection is out of step.
-const maxForeign = 2
+// maxMismatched is the maximum number of responses to other requests that are skipped.
+// Upstreams may repeat a response; more indicate that the connection is out of sync.
+const maxMismatched = 2
 
-// largeBody is written beside reading: an upstream may answer before it has
-// read a long body, and both sides' windows are small.
-const largeBody = 16 << 10
+// maxInlineBody is the maximum size in bytes of a body that is written before the
+// response is read. A larger one is written concurrently: an upstream may respond
+// before it has read the whole body, and the TCP windows of both sides are small.
+const maxInlineBody = 16 << 10
 
-// Do sends a call. An error is always a *Failure, which tells whether any of
-// the request can have left. When ctx ends, the connection is closed, which
-// cancels the request at the upstream.
-func (p *Pool) Do(ctx context.Context, call *Request) (*Response, error) {
+// Do sends a request. Errors are always of type *RequestError, which records whether
+// any part of the request may have been sent. When ctx ends, the connection is closed,
+// which cancels the request at the upstream.
+func (p *Pool) Do(ctx context.Context, request *Request) (*Response, error) {
 	maxIdle := p.cfg.MaxIdleNonRepeatable
-	if call.Repeatable {
+	if request.Repeatable {
 		maxIdle = time.Hour
 	}
 	for {
-		c, err := p.get(ctx, call, maxIdle)
+		c, err := p.get(ctx, request, maxIdle)
 		if err != nil {
 			return nil, &RequestError{Cause: err}
 		}
-		a, err := p.exchange(ctx, c, call)
+		resp, err := p.exchange(ctx, c, request)
 		if err == nil {
-			return a, nil
+			return resp, nil
 		}
 		_ = c.Close()
-		// An idle connection that broke before a byte left says nothing of the
-		// upstream: a new one may work.
+		// An idle connection that broke before any byte was sent does not indicate
+		// that the upstream has failed: a new connection may work.
 		if c.reused && NotSent(err) && ctx.Err() == nil {
 			continue
 		}
@@ -84,65 +85,65 @@
 	}
 }
 
-func (p *Pool) exchange(ctx context.Context, c *poolConn, call *Request) (*Response, error) {
-	a := &Response{conn: c, pool: p, written: make(chan struct{})}
-	a.stop = context.AfterFunc(ctx, func() { _ = c.Close() })
-	if err := a.write(c, call); err != nil {
-		a.stop()
+func (p *Pool) exchange(ctx context.Context, c *poolConn, request *Request) (*Response, error) {
+	r := &Response{conn: c, pool: p, written: make(chan struct{})}
+	r.stop = context.AfterFunc(ctx, func() { _ = c.Close() })
+	if err := r.write(c, request); err != nil {
+		r.stop()
 		return nil, err
 	}
-	resp, err := readAnswer(c, call)
+	resp, err := readResponse(c, request)
 	if err != nil {
-		a.stop()
+		r.stop()
 		return nil, &RequestError{Sent: true, Cause: err}
 	}
-	a.resp = resp
-	a.Status, a.Header, a.BodyLength, a.body = resp.StatusCode, resp.Header, resp.ContentLength, resp.Body
-	return a, nil
+	r.resp = resp
+	r.Status, r.Header, r.BodyLength, r.body = resp.StatusCode, resp.Header, resp.ContentLength, resp.Body
+	return r, nil
 }
 
-// write sends the head and the body.
-func (a *Response) write(c *poolConn, call *Request) error {
+// write writes the request's header and body.
+func (r *Response) write(c *poolConn, request *Request) error {
 	var head bytes.Buffer
-	head.Grow(1<<10 + min(len(call.Body), largeBody))
-	head.WriteString(call.Method + " " + call.URI + " HTTP/1.1\r\nHost: " + call.Host + "\r\n")
-	if len(call.Body) > 0 || call.Method != http.MethodGet {
-		head.WriteString("Content-Length: " + strconv.Itoa(len(call.Body)) + "\r\n")
+	head.Grow(1<<10 + min(len(request.Body), maxInlineBody))
+	head.WriteString(request.Method + " " + request.URI + " HTTP/1.1\r\nHost: " + request.Host + "\r\n")
+	if len(request.Body) > 0 || request.Method != http.MethodGet {
+		head.WriteString("Content-Length: " + strconv.Itoa(len(request.Body)) + "\r\n")
 	}
-	if err := call.Header.Write(&head); err != nil {
+	if err := request.Header.Write(&head); err != nil {
 		return &RequestError{Cause: err}
 	}
 	head.WriteString("\r\n")
-	if len(call.Body) <= largeBody {
-		head.Write(call.Body)
+	if len(request.Body) <= maxInlineBody {
+		head.Write(request.Body)
 	}
 	n, err := c.Write(head.Bytes())
 	if err != nil {
 		return &RequestError{Sent: n > 0, Cause: err}
 	}
-	if len(call.Body) <= largeBody {
-		close(a.written)
+	if len(request.Body) <= maxInlineBody {
+		close(r.written)
 		return nil
 	}
 	go func() {
-		// A failed write shows where the answer is read.
-		if _, err := c.Write(call.Body); err == nil {
-			close(a.written)
+		// A write error surfaces when the response is read.
+		if _, err := c.Write(request.Body); err == nil {
+			close(r.written)
 		}
 	}()
 	return nil
 }
 
-// readAnswer reads the head of the answer that belongs to the call.
-func readAnswer(c *poolConn, call *Request) (*http.Response, error) {
-	req := &http.Request{Method: call.Method}
-	for range maxForeign + 1 {
-		resp, err := readFinal(c, req)
+// readResponse reads the header of the response that belongs to the request.
+func readResponse(c *poolConn, request *Request) (*http.Response, error) {
+	req := &http.Request{Method: request.Method}
+	for range maxMismatched + 1 {
+		resp, err := readFinalResponse(c, req)
 		if err != nil {
 			return nil, err
 		}
-		id := resp.Header.Get(call.IDHeader)
-		if call.IDHeader == "" || id == call.ID {
+		id := resp.Header.Get(request.IDHeader)
+		if request.IDHeader == "" || id == request.ID {
 			return resp, nil
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil || resp.Close {
@@ -152,8 +153,8 @@
 	return nil, ErrMismatchedResponse
 }
 
-// readFinal passes over interim answers (status 1xx).
-func readFinal(c *poolConn, req *http.Request) (*http.Response, error) {
+// readFinalResponse reads a response header, skipping interim responses (status 1xx).
+func readFinalResponse(c *poolConn, req *http.Request) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(c.br, req)
 		if err != nil {
@@ -165,39 +166,39 @@
 	}
 }
 
-// Read implements io.Reader on the body. io.EOF means that the whole body came.
-func (a *Response) Read(b []byte) (int, error) {
-	n, err := a.body.Read(b)
+// Read implements io.Reader on the body. It returns io.EOF only if the body is complete.
+func (r *Response) Read(b []byte) (int, error) {
+	n, err := r.body.Read(b)
 	if err == io.EOF {
-		a.clean = true
+		r.complete = true
 	}
 	return n, err
 }
 
-// Complete reports whether the body ended as it should.
-func (a *Response) Complete() bool { return a.clean }
+// Complete reports whether the body was read to its regular end.
+func (r *Response) Complete() bool { return r.complete }
 
-// Buffered reports whether more of the body can be read without waiting.
-func (a *Response) Buffered() bool { return a.conn.br.Buffered() > 0 }
+// Buffered reports whether more data can be read without blocking.
+func (r *Response) Buffered() bool { return r.conn.br.Buffered() > 0 }
 
-// Close ends the use of the connection. It is kept for another request only if
-// the answer ended cleanly, nothing is left unread and the request was written
-// to its end; else the next answer would be read out of step.
-func (a *Response) Close() {
-	if a.closed {
+// Close returns the connection to the pool if the response is complete, no data is left
+// unread and the request was written completely. Otherwise it closes the connection:
+// the next request would read data that doesn't belong to its response.
+func (r *Response) Close() {
+	if r.closed {
 		return
 	}
-	a.closed = true
-	if !a.stop() || !a.clean || a.resp.Close || !a.wholeRequest() || a.conn.br.Buffered() > 0 {
-		_ = a.conn.Close()
+	r.closed = true
+	if !r.stop() || !r.complete || r.resp.Close || !r.requestWritten() || r.conn.br.Buffered() > 0 {
+		_ = r.conn.Close()
 		return
 	}
-	a.pool.put(a.conn, a.resp)
+	r.pool.put(r.conn, r.resp)
 }
 
-func (a *Response) wholeRequest() bool {
+func (r *Response) requestWritten() bool {
 	select {
-	case <-a.written:
+	case <-r.written:
 		return true
 	default:
 		return false
--- a/upstream/pool_test.go
+++ b/upstream/pool_test.go
@@ -16,19 +16,18 @@
 	"github.com/aspenswitch/aspenswitch/upstream"
 )
 
-// scripted is an upstream that reads requests and answers each connection's by
-// a script of its own.
-type scripted struct {
+// fakeUpstream accepts connections and runs a script on each.
+type fakeUpstream struct {
 	listener net.Listener
 	conns    chan net.Conn
 }
 
-// serve runs script on each connection that is accepted.
-func serve(t *testing.T, script func(c net.Conn, r *bufio.Reader)) *scripted {
+// serve starts an upstream that runs script on each accepted connection.
+func serve(t *testing.T, script func(c net.Conn, r *bufio.Reader)) *fakeUpstream {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
-	s := &scripted{listener: l, conns: make(chan net.Conn, 16)}
+	s := &fakeUpstream{listener: l, conns: make(chan net.Conn, 16)}
 	t.Cleanup(func() { _ = l.Close() })
 	go func() {
 		for {
@@ -46,7 +45,7 @@
 	return s
 }
 
-func (s *scripted) call(id string, body string) *upstream.Request {
+func (s *fakeUpstream) request(id string, body string) *upstream.Request {
 	return &upstream.Request{
 		Address: s.listener.Addr().String(), Method: http.MethodPost, URI: "/p//a%2fb?x=1", Host: "h.example",
 		Header: http.Header{"Id": {id}}, Body: []byte(body), IDHeader: "Id", ID: id, Repeatable: true,
@@ -62,7 +61,7 @@
 	return req, string(body), err
 }
 
-func answer(id, body string) string {
+func response(id, body string) string {
 	return "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: " + itoa(len(body)) + "\r\n\r\n" + body
 }
 
@@ -76,7 +75,7 @@
 	return p
 }
 
-func TestCallGoesOutAsItCame(t *testing.T) {
+func TestRequestIsSentUnchanged(t *testing.T) {
 	g := NewWithT(t)
 	uris := make(chan string, 1)
 	s := serve(t, func(c net.Conn, r *bufio.Reader) {
@@ -85,18 +84,18 @@
 			return
 		}
 		uris <- req.RequestURI + " " + req.Host + " " + body
-		_, _ = io.WriteString(c, answer("1", "ok"))
+		_, _ = io.WriteString(c, response("1", "ok"))
 	})
-	a, err := newPool(t).Do(context.Background(), s.call("1", "hello"))
+	resp, err := newPool(t).Do(context.Background(), s.request("1", "hello"))
 	g.Expect(err).NotTo(HaveOccurred())
-	defer a.Close()
-	g.Expect(io.ReadAll(a)).To(Equal([]byte("ok")))
+	defer resp.Close()
+	g.Expect(io.ReadAll(resp)).To(Equal([]byte("ok")))
 	g.Expect(<-uris).To(Equal("/p//a%2fb?x=1 h.example hello"))
 }
 
-// The caller would get another caller's answer. The upstream sends a second
-// answer after the first; it arrives just as the connection is used again, where
-// the next answer is due. The id tells whose it is.
+// A caller would receive another caller's response: the upstream sends a second
+// response after the first, and it arrives when the connection is already reused. The
+// response must be matched to the request by its ID.
 func TestExtraAnswerIsNotTakenForTheNextOne(t *testing.T) {
 	g := NewWithT(t)
 	s := serve(t, func(c net.Conn, r *bufio.Reader) {
@@ -105,22 +104,22 @@
 				return
 			}
 			if id == "2" {
-				_, _ = io.WriteString(c, answer("1", "first"))
+				_, _ = io.WriteString(c, response("1", "first"))
 			}
-			_, _ = io.WriteString(c, answer(id, "right"+id))
+			_, _ = io.WriteString(c, response(id, "right"+id))
 		}
 	})
 	p := newPool(t)
 	for _, id := range []string{"1", "2"} {
-		a, err := p.Do(context.Background(), s.call(id, ""))
+		resp, err := p.Do(context.Background(), s.request(id, ""))
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(io.ReadAll(a)).To(Equal([]byte("right" + id)))
-		a.Close()
+		g.Expect(io.ReadAll(resp)).To(Equal([]byte("right" + id)))
+		resp.Close()
 	}
-	g.Expect(s.conns).To(HaveLen(1), "the connection was used twice")
+	g.Expect(s.conns).To(HaveLen(1), "the connection was reused")
 }
 
-// An extra answer that has already arrived ends the connection's use.
+// A connection that has already received an extra response must not be reused.
 func TestConnectionWithUnreadBytesIsNotUsedAgain(t *testing.T) {
 	g := NewWithT(t)
 	s := serve(t, func(c net.Conn, r *bufio.Reader) {
@@ -129,24 +128,25 @@
 			return
 		}
 		id := req.Header.Get("Id")
-		_, _ = io.WriteString(c, answer(id, "right")+answer(id, "again"))
+		_, _ = io.WriteString(c, response(id, "right")+response(id, "again"))
 		_, _ = io.Copy(io.Discard, r)
 	})
 	p := newPool(t)
 	for _, id := range []string{"1", "2"} {
-		a, err := p.Do(context.Background(), s.call(id, ""))
+		resp, err := p.Do(context.Background(), s.request(id, ""))
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(io.ReadAll(a)).To(Equal([]byte("right")))
-		a.Close()
+		g.Expect(io.ReadAll(resp)).To(Equal([]byte("right")))
+		resp.Close()
 	}
 	g.Expect(s.conns).To(HaveLen(2))
 }
 
-// "Not run" would be a lie: the upstream got the request and broke off.
+// The upstream reads the request and closes the connection. The request must not be
+// reported as not executed.
 func TestBrokenConnectionAfterSendingCountsAsSent(t *testing.T) {
 	g := NewWithT(t)
 	s := serve(t, func(_ net.Conn, r *bufio.Reader) { _, _, _ = readRequest(r) })
-	_, err := newPool(t).Do(context.Background(), s.call("1", "x"))
+	_, err := newPool(t).Do(context.Background(), s.request("1", "x"))
 	g.Expect(err).To(HaveOccurred())
 	g.Expect(upstream.NotSent(err)).To(BeFalse())
 }
@@ -160,22 +160,23 @@
 	g.Expect(upstream.NotSent(err)).To(BeTrue())
 }
 
-// A cut answer must not look whole: the upstream announces more than it sends.
+// The upstream sends less than its Content-Length. A truncated response must not count
+// as complete.
 func TestAnswerThatIsCutIsNotWhole(t *testing.T) {
 	g := NewWithT(t)
 	s := serve(t, func(c net.Conn, r *bufio.Reader) {
 		_, _, _ = readRequest(r)
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 10\r\n\r\nhalf")
 	})
-	a, err := newPool(t).Do(context.Background(), s.call("1", ""))
+	resp, err := newPool(t).Do(context.Background(), s.request("1", ""))
 	g.Expect(err).NotTo(HaveOccurred())
-	defer a.Close()
-	_, err = io.ReadAll(a)
+	defer resp.Close()
+	_, err = io.ReadAll(resp)
 	g.Expect(err).To(MatchError(io.ErrUnexpectedEOF))
-	g.Expect(a.Complete()).To(BeFalse())
+	g.Expect(resp.Complete()).To(BeFalse())
 }
 
-// An answer without a length is whole if the connection is closed, and broken
+// A response without a length is complete if the connection is closed, and incomplete
 // if it is reset.
 func TestUnframedAnswerThatIsResetIsNotWhole(t *testing.T) {
 	for name, reset := range map[string]bool{"closed": false, "reset": true} {
@@ -190,23 +191,23 @@
 					_ = c.(*net.TCPConn).SetLinger(0)
 				}
 			})
-			a, err := newPool(t).Do(context.Background(), s.call("1", ""))
+			resp, err := newPool(t).Do(context.Background(), s.request("1", ""))
 			g.Expect(err).NotTo(HaveOccurred())
-			defer a.Close()
+			defer resp.Close()
 			part := make([]byte, 4)
-			_, err = io.ReadFull(a, part)
+			_, err = io.ReadFull(resp, part)
 			g.Expect(err).NotTo(HaveOccurred())
 			close(got)
-			_, err = io.ReadAll(a)
+			_, err = io.ReadAll(resp)
 			g.Expect(err != nil).To(Equal(reset))
-			g.Expect(a.Complete()).To(Equal(!reset))
+			g.Expect(resp.Complete()).To(Equal(!reset))
 		})
 	}
 }
 
-// Another request's bytes would be read as the rest of this body. The upstream
-// rejects a long request before it has read it and goes on reading; the
-// connection must not carry anything else.
+// The upstream rejects a long request before it has read its body and continues to read.
+// The bytes of another request on this connection would be read as part of the body, so
+// the connection must not be reused.
 func TestEarlyAnswerToALongBodyEndsTheConnection(t *testing.T) {
 	g := NewWithT(t)
 	hold := make(chan struct{})
@@ -216,22 +217,22 @@
 		if err != nil {
 			return
 		}
-		_, _ = io.WriteString(c, answer(req.Header.Get("Id"), "no"))
+		_, _ = io.WriteString(c, response(req.Header.Get("Id"), "no"))
 		<-hold
 	})
 	p := newPool(t)
 	long := strings.Repeat("x", 8<<20)
 	for _, id := range []string{"1", "2"} {
-		a, err := p.Do(context.Background(), s.call(id, long))
+		resp, err := p.Do(context.Background(), s.request(id, long))
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(io.ReadAll(a)).To(Equal([]byte("no")))
-		a.Close()
+		g.Expect(io.ReadAll(resp)).To(Equal([]byte("no")))
+		resp.Close()
 	}
 	g.Expect(s.conns).To(HaveLen(2))
 }
 
-// A request that must not be repeated would be lost on a connection that the
-// upstream has dropped without notice; it goes on one that was used just now.
+// A request that must not be repeated would be lost on a connection that the upstream
+// has dropped without notice, so it must use a new or recently used connection.
 func TestUnrepeatableCallsUseFreshConnections(t *testing.T) {
 	g := NewWithT(t)
 	s := serve(t, func(c net.Conn, r *bufio.Reader) {
@@ -240,7 +241,7 @@
 			if err != nil {
 				return
 			}
-			_, _ = io.WriteString(c, answer(req.Header.Get("Id"), "ok"))
+			_, _ = io.WriteString(c, response(req.Header.Get("Id"), "ok"))
 		}
 	})
 	cfg := upstream.DefaultPoolConfig()
@@ -248,20 +249,20 @@
 	p := upstream.NewPool(cfg)
 	t.Cleanup(p.Close)
 	for _, id := range []string{"1", "2"} {
-		call := s.call(id, "")
+		call := s.request(id, "")
 		call.Repeatable = false
-		a, err := p.Do(context.Background(), call)
+		resp, err := p.Do(context.Background(), call)
 		g.Expect(err).NotTo(HaveOccurred())
-		_, err = io.ReadAll(a)
+		_, err = io.ReadAll(resp)
 		g.Expect(err).NotTo(HaveOccurred())
-		a.Close()
+		resp.Close()
 	}
 	g.Expect(p.Dials()).To(Equal(int64(2)))
 }
 
-// An upstream loses power and starts again under its name and address. Nothing has
-// closed the connection of before; what is sent on it would be lost, and nobody could
-// say that it didn't run. The next call opens a new one.
+// An upstream loses power and restarts with the same name and address. Nothing has
+// closed the old connection; a request sent on it would be lost, and it would be unknown
+// whether it was executed. The next request must open a new connection.
 func TestConnectionToAnEarlierStartIsNotUsedAgain(t *testing.T) {
 	g := NewWithT(t)
 	s := serve(t, func(c net.Conn, r *bufio.Reader) {
@@ -270,24 +271,24 @@
 			if err != nil {
 				return
 			}
-			_, _ = io.WriteString(c, answer(req.Header.Get("Id"), "ok"))
+			_, _ = io.WriteString(c, response(req.Header.Get("Id"), "ok"))
 		}
 	})
 	p := newPool(t)
 	for i, started := range []int64{1000, 1000, 2000} {
-		call := s.call(itoa(i), "")
+		call := s.request(itoa(i), "")
 		call.Started = started
-		a, err := p.Do(context.Background(), call)
+		resp, err := p.Do(context.Background(), call)
 		g.Expect(err).NotTo(HaveOccurred())
-		_, err = io.ReadAll(a)
+		_, err = io.ReadAll(resp)
 		g.Expect(err).NotTo(HaveOccurred())
-		a.Close()
+		resp.Close()
 	}
 	g.Expect(p.Dials()).To(Equal(int64(2)))
 }
 
-// The upstream would go on working for nobody: when the caller leaves, its
-// connection is closed, also while the answer is awaited.
+// The upstream would continue to process an abandoned request: when the caller
+// disconnects, the upstream connection must be closed, also before the response arrives.
 func TestCancelledCallClosesTheConnection(t *testing.T) {
 	g := NewWithT(t)
 	closed := make(chan struct{})
@@ -301,15 +302,15 @@
 		<-s.conns
 		cancel()
 	}()
-	_, err := newPool(t).Do(ctx, s.call("1", ""))
+	_, err := newPool(t).Do(ctx, s.request("1", ""))
 	g.Expect(err).To(HaveOccurred())
 	g.Eventually(closed, 5*time.Second).Should(BeClosed())
 }
 
-// What upstreams send is read without a crash, and a body never grows past what
-// was announced.
+// Arbitrary data from an upstream must not cause a crash, and a complete body must have
+// the announced length.
 func FuzzAnswers(f *testing.F) {
-	f.Add([]byte(answer("1", "ok")))
+	f.Add([]byte(response("1", "ok")))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nId: 1\r\n\r\n2\r\nab\r\n0\r\n\r\n"))
 	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 No\r\nId: 1\r\n\r\n"))
 	f.Add([]byte("\x00\xffgarbage\r\n\r\n"))
@@ -318,17 +319,17 @@
 			_, _, _ = readRequest(r)
 			_, _ = c.Write(raw)
 		})
-		a, err := newPool(t).Do(context.Background(), s.call("1", ""))
+		resp, err := newPool(t).Do(context.Background(), s.request("1", ""))
 		if err != nil {
 			return
 		}
-		defer a.Close()
-		if a.Header.Get("Id") != "1" {
-			t.Fatal("an answer to another request was passed on")
+		defer resp.Close()
+		if resp.Header.Get("Id") != "1" {
+			t.Fatal("a response to another request was returned")
 		}
-		body, err := io.ReadAll(a)
-		if err == nil && a.BodyLength >= 0 && int64(len(body)) != a.BodyLength {
-			t.Fatalf("%d bytes of %d count as whole", len(body), a.BodyLength)
+		body, err := io.ReadAll(resp)
+		if err == nil && resp.BodyLength >= 0 && int64(len(body)) != resp.BodyLength {
+			t.Fatalf("body of %d bytes counts as complete, want %d bytes", len(body), resp.BodyLength)
 		}
 	})
 }
