--- a/certs/certs.go
+++ b/certs/certs.go
@@ -1,5 +1,5 @@
-// Package certs loads certificates for listeners and reads them again when
-// their files change, so that a renewal needs no restart.
+// Package certs loads TLS certificates and reloads them when their files change, so
+// that a renewal needs no restart.
 package certs
 
 import (
@@ -15,19 +15,20 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("certs")
 
-// checkEvery is how often the files are looked at.
-const checkEvery = time.Second
+// checkInterval is the shortest time between two checks of the files for changes.
+const checkInterval = time.Second
 
-// Reloader holds a certificate that follows its files.
+// Reloader holds a certificate and reloads it when its files change.
 type Reloader struct {
 	certFile, keyFile string
 	mu                sync.Mutex
 	cert              *tls.Certificate
-	modified          time.Time
-	checked           time.Time
+	modTime           time.Time
+	checkedAt         time.Time
 }
 
-// NewReloader loads a certificate; it fails if the files are no pair.
+// NewReloader loads a certificate and its key. It returns an error if the files can't
+// be read or don't match.
 func NewReloader(certFile, keyFile string) (*Reloader, error) {
 	r := &Reloader{certFile: certFile, keyFile: keyFile}
 	if err := r.load(); err != nil {
@@ -42,12 +43,12 @@
 		return Error.Wrap(err)
 	}
 	r.cert = &cert
-	r.modified = r.newest()
+	r.modTime = r.latestModTime()
 	return nil
 }
 
-// newest is the later modification time of the two files.
-func (r *Reloader) newest() time.Time {
+// latestModTime returns the later modification time of the two files.
+func (r *Reloader) latestModTime() time.Time {
 	var newest time.Time
 	for _, name := range []string{r.certFile, r.keyFile} {
 		if info, err := os.Stat(name); err == nil && info.ModTime().After(newest) {
@@ -57,22 +58,22 @@
 	return newest
 }
 
-// Certificate returns the current certificate. While the files are half
-// written and are no pair, the last good one stays.
+// Certificate returns the current certificate. While the files are partly written and
+// don't match, it returns the last valid one.
 func (r *Reloader) Certificate() *tls.Certificate {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if time.Since(r.checked) >= checkEvery {
-		r.checked = time.Now()
-		if r.newest().After(r.modified) {
+	if time.Since(r.checkedAt) >= checkInterval {
+		r.checkedAt = time.Now()
+		if r.latestModTime().After(r.modTime) {
 			_ = r.load()
 		}
 	}
 	return r.cert
 }
 
-// ServerConfig returns the TLS settings of a listener. caFile, if given, makes callers
-// show a certificate of that authority.
+// ServerConfig returns the TLS configuration of a listener. If caFile is set, clients
+// must present a certificate that this authority signed.
 func ServerConfig(certFile, keyFile, caFile string) (*tls.Config, error) {
 	r, err := NewReloader(certFile, keyFile)
 	if err != nil {
@@ -85,13 +86,13 @@
 	if caFile == "" {
 		return cfg, nil
 	}
-	cfg.ClientCAs, err = pool(caFile)
+	cfg.ClientCAs, err = loadCertPool(caFile)
 	cfg.ClientAuth = tls.RequireAndVerifyClientCert
 	return cfg, err
 }
 
-// ClientConfig returns the TLS settings of a connection to a listener with a
-// certificate of the authority in caFile.
+// ClientConfig returns the TLS configuration of connections to a listener whose
+// certificate the authority in caFile signed. The client presents its own certificate.
 func ClientConfig(certFile, keyFile, caFile string) (*tls.Config, error) {
 	r, err := NewReloader(certFile, keyFile)
 	if err != nil {
@@ -101,18 +102,18 @@
 		MinVersion:           tls.VersionTLS12,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return r.Certificate(), nil },
 	}
-	cfg.RootCAs, err = pool(caFile)
+	cfg.RootCAs, err = loadCertPool(caFile)
 	return cfg, err
 }
 
-func pool(caFile string) (*x509.CertPool, error) {
+func loadCertPool(caFile string) (*x509.CertPool, error) {
 	pem, err := os.ReadFile(caFile)
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
 	p := x509.NewCertPool()
 	if !p.AppendCertsFromPEM(pem) {
-		return nil, Error.New("%s holds no certificate", caFile)
+		return nil, Error.New("%s contains no PEM certificate", caFile)
 	}
 	return p, nil
 }
--- a/gcpace/gcpace_test.go
+++ b/gcpace/gcpace_test.go
@@ -10,12 +10,13 @@
 	"github.com/aspenswitch/aspenswitch/gcpace"
 )
 
-// share is the smallest VM's part of a core.
+// share is the processor share of the smallest VM, in cores.
 const share = 0.192
 
-// A router keeps up for a minute, is flooded for two seconds, and keeps up again. It
-// spends memory while it is flooded, and gives it back some seconds later.
-func TestMemoryIsSpentWhileTheProcessorIsShort(t *testing.T) {
+// Guards against frequent collections during an overload, and against a heap that stays
+// large afterwards. The router has a minute of low load, two seconds of overload, then
+// low load again.
+func TestPercentRisesWhileTheProcessorIsOverloaded(t *testing.T) {
 	g := NewWithT(t)
 	var p gcpace.Pacer
 	observe := func(use float64, times int) {
@@ -28,12 +29,13 @@
 	observe(0.65, 2)
 	g.Expect(p.Percent()).To(Equal(gcpace.MaxPercent))
 	observe(0.1, 1)
-	g.Expect(p.Percent()).To(BeNumerically(">", gcpace.MinPercent), "floods come in waves")
+	g.Expect(p.Percent()).To(BeNumerically(">", gcpace.MinPercent), "overload comes in waves")
 	observe(0.1, 5)
 	g.Expect(p.Percent()).To(Equal(gcpace.MinPercent))
 }
 
-// Whatever is observed, the collector runs, and as often as memory allows at most.
+// Guards against a percentage outside its bounds, which would turn collections off or
+// make them too frequent, whatever is observed.
 func TestPercentStaysWithinItsBounds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var p gcpace.Pacer
--- a/jsonc/document.go
+++ b/jsonc/document.go
@@ -9,7 +9,7 @@
 	"github.com/tailscale/hujson"
 )
 
-// Document is a parsed file. Checks of the values add findings to it.
+// Document is a parsed file and the findings about it.
 type Document struct {
 	file     string
 	raw      []byte
@@ -17,23 +17,24 @@
 	findings Findings
 }
 
-// Decode reads raw into the struct that v points to. Findings about the form
-// are in the document; the caller adds its own with Add and ends with Findings.
+// Decode decodes raw into the struct that v points to. The returned document holds
+// the findings about syntax, fields and types; the caller adds findings about values
+// with Add and reads all of them with Findings.
 func Decode(file string, raw []byte, v any) *Document {
 	d := &Document{file: file, raw: raw}
 	root, err := hujson.Parse(bytes.Clone(raw))
 	if err != nil {
-		d.syntax(err)
+		d.addSyntaxError(err)
 		return d
 	}
 	d.root = root
-	d.walk(&d.root, reflect.ValueOf(v).Elem(), "")
+	d.decodeValue(&d.root, reflect.ValueOf(v).Elem(), "")
 	return d
 }
 
-// syntax notes a file that is no JSON at all. The parser's message begins with
-// the place.
-func (d *Document) syntax(err error) {
+// addSyntaxError adds a finding for a file that isn't valid JSON. The parser's message
+// begins with the line and the column.
+func (d *Document) addSyntaxError(err error) {
 	f := Finding{File: d.file, Message: err.Error()}
 	if n, _ := fmt.Sscanf(err.Error(), "hujson: line %d, column %d:", &f.Line, &f.Column); n == 2 {
 		_, f.Message, _ = strings.Cut(f.Message, ": line")
@@ -42,14 +43,14 @@
 	d.findings = append(d.findings, f)
 }
 
-// Add notes a finding about the value at a JSON pointer; a value that is not
-// there is placed at its nearest parent.
+// Add adds a finding about the value at a JSON pointer. If the value is absent, the
+// finding has the position of its nearest parent.
 func (d *Document) Add(path, format string, args ...any) {
-	at := path
-	v := d.root.Find(at)
-	for v == nil && at != "" {
-		at = at[:strings.LastIndexByte(at, '/')]
-		v = d.root.Find(at)
+	nearest := path
+	v := d.root.Find(nearest)
+	for v == nil && nearest != "" {
+		nearest = nearest[:strings.LastIndexByte(nearest, '/')]
+		v = d.root.Find(nearest)
 	}
 	offset := 0
 	if v != nil {
@@ -58,8 +59,8 @@
 	d.addAt(offset, path, fmt.Sprintf(format, args...))
 }
 
-// maxFindings bounds the report: a file with more is not a bundle that somebody
-// wrote, and looking for each place would take a time that grows with its square.
+// maxFindings bounds the report. A file with more findings is not a bundle that
+// somebody wrote, and locating each of them would take quadratic time.
 const maxFindings = 200
 
 func (d *Document) addAt(offset int, path, message string) {
@@ -76,5 +77,5 @@
 	})
 }
 
-// Findings returns what was found, by place.
+// Findings returns the findings, sorted by position.
 func (d *Document) Findings() Findings { return d.findings.sorted() }
--- a/jsonc/duration.go
+++ b/jsonc/duration.go
@@ -10,7 +10,7 @@
 // Duration is a time.Duration written as a string such as "1.5s" or "200ms".
 type Duration time.Duration
 
-// UnmarshalJSON reads the string.
+// UnmarshalJSON implements json.Unmarshaler.
 func (d *Duration) UnmarshalJSON(data []byte) error {
 	var s string
 	if err := json.Unmarshal(data, &s); err != nil {
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// MarshalJSON writes the string.
+// MarshalJSON implements json.Marshaler.
 func (d Duration) MarshalJSON() ([]byte, error) {
 	return json.Marshal(time.Duration(d).String())
 }
--- a/startup/startup.go
+++ b/startup/startup.go
@@ -1,9 +1,11 @@
-// Package startup takes the signals of a process from its first moments on.
+// Package startup registers the handlers of a process's signals during package
+// initialisation.
 //
-// The default of a signal to reload is to end the process. A VM with a fifth of a
-// core initialises its packages for a tenth of a second before main begins, and the
-// settings may change just then. Packages are initialised in the order of their
-// paths, so that this one, which needs little, comes before the large libraries.
+// The default action of SIGHUP, the signal to reload, is to end the process. On a VM
+// with a fifth of a core, package initialisation takes a tenth of a second before main
+// begins, and the settings may change during that time. Packages are initialised in the
+// order of their import paths, so this one, which has few dependencies, is initialised
+// before the large libraries.
 package startup
 
 import (
@@ -12,16 +14,16 @@
 	"syscall"
 )
 
-// pending is how many signals wait until somebody takes them; further ones of the
-// same kind tell nothing new.
-const pending = 4
+// signalBuffer is the number of signals that are buffered until they are received.
+// Further signals of the same kind carry no new information.
+const signalBuffer = 4
 
-var signals = make(chan os.Signal, pending)
+var signals = make(chan os.Signal, signalBuffer)
 
 func init() {
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 }
 
-// Signals are the requests to stop (SIGTERM, SIGINT) and to reload (SIGHUP) since
-// the start of the process.
+// Signals returns the channel of the signals to stop (SIGTERM, SIGINT) and to reload
+// (SIGHUP) that the process has received since its start.
 func Signals() <-chan os.Signal { return signals }
