--- a/settings/check.go
+++ b/settings/check.go
@@ -17,13 +17,13 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("settings")
 
-var tokenPattern = regexp.MustCompile(`^sha256:[0-9a-f]{64}$`)
+var tokenHashPattern = regexp.MustCompile(`^sha256:[0-9a-f]{64}$`)
 
-// minHeartbeats is how many heartbeats a lease must live, so that one lost
-// message doesn't end it.
-const minHeartbeats = 2
+// minLeaseHeartbeats is the minimum duration of a lease in heartbeats. With two, a single lost
+// message doesn't end the lease.
+const minLeaseHeartbeats = 2
 
-// Load reads and checks a settings file.
+// Load reads and validates a settings file.
 func Load(file string) (Settings, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -33,17 +33,17 @@
 	return s, findings.Err()
 }
 
-// Parse reads and checks settings; all findings come at once.
+// Parse decodes and validates settings. It returns all findings together.
 func Parse(file string, raw []byte) (Settings, jsonc.Findings) {
 	s := Default()
 	doc := jsonc.Decode(file, raw, &s)
-	check(doc, &s)
+	checkSettings(doc, &s)
 	return s, doc.Findings()
 }
 
-func check(doc *jsonc.Document, s *Settings) {
+func checkSettings(doc *jsonc.Document, s *Settings) {
 	if s.Name == "" {
-		doc.Add("/name", "must be the VM's name on the platform's list")
+		doc.Add("/name", "must be the VM's name in the platform's list of VMs")
 	}
 	if s.FailureDomain == "" {
 		doc.Add("/failureDomain", "must be given")
@@ -51,8 +51,8 @@
 	checkListener(doc, "/callers", s.Callers)
 	checkListener(doc, "/peers", s.Peers)
 	checkListener(doc, "/admin/listener", s.Admin.Listener)
-	if !tokenPattern.MatchString(s.Admin.TokenHash) {
-		doc.Add("/admin/tokenHash", "must be sha256: and 64 hex digits")
+	if !tokenHashPattern.MatchString(s.Admin.TokenHash) {
+		doc.Add("/admin/tokenHash", "must be sha256: followed by 64 lower-case hexadecimal digits")
 	}
 	checkPlatform(doc, s.Platform)
 	checkOperators(doc, s)
@@ -65,15 +65,15 @@
 	}
 }
 
-func checkListener(doc *jsonc.Document, at string, l Listener) {
+func checkListener(doc *jsonc.Document, path string, l Listener) {
 	if _, err := netip.ParseAddrPort(l.Listen); err != nil {
-		doc.Add(at+"/listen", "must be an IP address and a port, such as 10.0.0.1:8080")
+		doc.Add(path+"/listen", "must be an IP address and a port, such as 10.0.0.1:8080")
 	}
 	if (l.CertFile == "") != (l.KeyFile == "") {
-		doc.Add(at, "certFile and keyFile must be given together")
+		doc.Add(path, "certFile and keyFile must be given together")
 	}
 	if l.CAFile != "" && l.CertFile == "" {
-		doc.Add(at+"/caFile", "needs certFile and keyFile")
+		doc.Add(path+"/caFile", "requires certFile and keyFile")
 	}
 }
 
@@ -82,9 +82,9 @@
 	if err != nil || (u.Scheme != "http" && u.Scheme != "https") {
 		doc.Add("/platform/url", "must be a URL such as http://10.0.0.1:6000")
 	} else if _, err := netip.ParseAddr(u.Hostname()); err != nil {
-		doc.Add("/platform/url", "must name the host by its IP address")
+		doc.Add("/platform/url", "must contain the host's IP address")
 	}
-	positive(doc, "/platform/pollEvery", p.PollEvery)
+	checkPositive(doc, "/platform/pollEvery", p.PollEvery)
 	if p.ListLag < 2*p.PollEvery {
 		doc.Add("/platform/listLag", "must be at least twice pollEvery")
 	}
@@ -95,15 +95,15 @@
 
 func checkOperators(doc *jsonc.Document, s *Settings) {
 	if len(s.Operators) < 2 {
-		doc.Add("/operators", "must name at least two, since two must sign a bundle")
+		doc.Add("/operators", "must list at least two operators, since two must sign a bundle")
 	}
 	for i, o := range s.Operators {
-		at := "/operators/" + strconv.Itoa(i)
+		path := "/operators/" + strconv.Itoa(i)
 		if o.Name == "" {
-			doc.Add(at+"/name", "must be given")
+			doc.Add(path+"/name", "must be given")
 		}
 		if len(o.PublicKey) != 32 {
-			doc.Add(at+"/publicKey", "must be an ed25519 public key: 32 bytes in base64")
+			doc.Add(path+"/publicKey", "must be an ed25519 public key: 32 bytes in base64")
 		}
 	}
 }
@@ -115,19 +115,19 @@
 	if s.ReportError <= 0 {
 		doc.Add("/scheduler/reportError", "must be more than 0")
 	}
-	positive(doc, "/scheduler/tick", s.Tick)
-	positive(doc, "/scheduler/reportEvery", s.ReportEvery)
-	positive(doc, "/scheduler/heartbeat", s.Heartbeat)
-	if s.LeaseTTL < minHeartbeats*s.Heartbeat {
-		doc.Add("/scheduler/leaseTTL", "must be at least %d heartbeats", minHeartbeats)
+	checkPositive(doc, "/scheduler/tick", s.Tick)
+	checkPositive(doc, "/scheduler/reportEvery", s.ReportEvery)
+	checkPositive(doc, "/scheduler/heartbeat", s.Heartbeat)
+	if s.LeaseTTL < minLeaseHeartbeats*s.Heartbeat {
+		doc.Add("/scheduler/leaseTTL", "must be at least %d heartbeats", minLeaseHeartbeats)
 	}
 	if s.SuspectAfter <= s.Heartbeat {
-		doc.Add("/scheduler/suspectAfter", "must be more than a heartbeat")
+		doc.Add("/scheduler/suspectAfter", "must be longer than heartbeat")
 	}
 }
 
-func positive(doc *jsonc.Document, at string, d jsonc.Duration) {
+func checkPositive(doc *jsonc.Document, path string, d jsonc.Duration) {
 	if time.Duration(d) <= 0 {
-		doc.Add(at, "must be more than 0")
+		doc.Add(path, "must be more than 0")
 	}
 }
--- a/settings/doc.go
+++ b/settings/doc.go
@@ -1,5 +1,5 @@
-// Package settings holds a router process's own settings: its addresses, its
-// failure domain, where the platform is, and who may do what. They come from a
-// file of JSON with comments; everything about teams and upstreams is in the
-// bundle instead.
+// Package settings defines, loads and validates the settings of a router process: its
+// addresses, its failure domain, the address of the platform and the permissions of
+// operators. They are read from a file of JSON with comments. Everything about teams and
+// upstreams is in the bundle instead.
 package settings
--- a/settings/fleet.go
+++ b/settings/fleet.go
@@ -11,98 +11,102 @@
 	"github.com/aspenswitch/aspenswitch/warmup"
 )
 
-// Fleet are the settings of a router that serves on a platform which publishes
-// configuration and upstreams.
+// Fleet holds the settings of a router whose platform publishes the configuration and the
+// upstreams.
 type Fleet struct {
-	// Name is the VM's name, for the log.
+	// Name is the VM's name in the log.
 	Name          string `json:"name"`
 	FailureDomain string `json:"failureDomain"`
-	// Regions are the regions of failure domains. They are only needed where routes or teams
-	// are restricted to regions.
+	// Regions maps failure domains to regions. It is only needed if routes or teams are
+	// restricted to regions.
 	Regions map[string]string `json:"regions"`
-	// Callers, Readiness and Control are where the process listens (IP:port):
-	// for callers, for the balancer's probe and for operators.
+	// Callers, Readiness and Control are the listen addresses (IP:port) for callers, for
+	// the load balancer's readiness probe and for operators.
 	Callers   string `json:"callers"`
 	Readiness string `json:"readiness"`
 	Control   string `json:"control"`
-	// Metrics is the port on which metrics are served as text.
+	// Metrics is the port on which metrics are served in text format.
 	Metrics int   `json:"metrics"`
 	Peers   Peers `json:"peers"`
-	// Platform is the store's address (IP:port).
+	// Platform is the address (IP:port) of the platform's store.
 	Platform string `json:"platform"`
-	// Processor is the VM's share of a core; stronger VMs decide for more.
+	// Processor is the VM's processor share in cores. A VM with a larger share is the
+	// home of more groups.
 	Processor float64 `json:"processor"`
-	// MemoryMB is the memory that the process may use.
+	// MemoryMB is the process's memory limit in MB.
 	MemoryMB int `json:"memoryMB"`
-	// Files is how many descriptors the process may open.
+	// Files is the maximum number of open file descriptors.
 	Files  int    `json:"files"`
 	Bounds Bounds `json:"bounds"`
 	// LogLevel is debug, info, warn or error.
 	LogLevel string `json:"logLevel"`
-	// LogLines is how many lines a second of each kind are written at most.
+	// LogLines is the maximum number of log lines per second of each kind.
 	LogLines int `json:"logLines"`
 }
 
-// Peers is how routers find and hear each other.
+// Peers holds the settings of the traffic between routers.
 type Peers struct {
 	IP string `json:"ip"`
 	// Port is the same on all VMs, for UDP and TCP.
 	Port int `json:"port"`
-	// Seeds are addresses of routers that may be up. Only the IPs are used.
+	// Seeds are addresses of routers that may be running, for discovery. Only the IPs are
+	// used.
 	Seeds []string `json:"seeds"`
 }
 
-// Bounds are what the deployment demands.
+// Bounds holds the limits that the deployment must meet.
 type Bounds struct {
-	// RevokeMs is how long a key may be served after it was taken away; 0 is
-	// not bounded.
+	// RevokeMs is how long requests with a revoked key may still be served; 0 means
+	// unbounded.
 	RevokeMs float64 `json:"revokeMs"`
-	// ApplyMs is how soon a change of the configuration must be in force, LeaveMs
-	// how soon an upstream that leaves must get no more work.
+	// ApplyMs is the time within which a configuration change must take effect, LeaveMs
+	// the time within which an upstream that leaves must receive no new requests.
 	ApplyMs float64 `json:"applyMs"`
 	LeaveMs float64 `json:"leaveMs"`
 	// GraceS is the time from SIGTERM to SIGKILL.
 	GraceS float64 `json:"graceS"`
-	// RetryRatio, RetryAllowance and RetryWindowS bound a service's arrivals
-	// beyond the first of each request: the ratio of all, and a number besides.
+	// RetryRatio, RetryAllowance and RetryWindowS are a service's retry budget. Per window,
+	// the attempts beyond the first of each request are at most this ratio of the first
+	// attempts, plus the allowance.
 	RetryRatio     float64 `json:"retryRatio"`
 	RetryAllowance float64 `json:"retryAllowance"`
 	RetryWindowS   float64 `json:"retryWindowS"`
-	// ShareWindowS is the span over which teams' shares are reckoned.
+	// ShareWindowS is the window over which teams' shares are computed.
 	ShareWindowS float64 `json:"shareWindowS"`
-	// WarmUpOverage and WarmUpSlack bound the requests that reach an upstream which is
-	// warming up, in any second: the multiple of its rate, and a number besides.
+	// WarmUpOverage and WarmUpSlack bound the requests per second that reach an upstream
+	// during its warm-up: a multiple of its warm-up rate, plus a number of requests.
 	WarmUpOverage float64 `json:"warmUpOverage"`
 	WarmUpSlack   float64 `json:"warmUpSlack"`
-	// EvacuateMs is how soon the upstreams of a failure domain that is evacuated must get no
-	// more work.
+	// EvacuateMs is the time within which the upstreams of an evacuated failure domain must
+	// receive no new requests.
 	EvacuateMs float64 `json:"evacuateMs"`
 }
 
-// MaxRevocationDelay is how long a key may be served after it was taken away.
+// MaxRevocationDelay returns how long requests with a revoked key may still be served.
 func (b Bounds) MaxRevocationDelay() time.Duration {
 	return time.Duration(b.RevokeMs * float64(time.Millisecond))
 }
 
-// MaxApplyDelay is how soon what is published must be acted upon.
+// MaxApplyDelay returns the time within which any published change must take effect: the
+// shortest of ApplyMs, LeaveMs and EvacuateMs.
 func (b Bounds) MaxApplyDelay() time.Duration {
 	return time.Duration(min(b.ApplyMs, b.LeaveMs, b.EvacuateMs) * float64(time.Millisecond))
 }
 
-// WarmUp is the bound on the requests to upstreams that are warming up.
+// WarmUp returns the bound on the requests to upstreams that are warming up.
 func (b Bounds) WarmUp() warmup.Policy {
 	return warmup.Policy{Overage: b.WarmUpOverage, Slack: b.WarmUpSlack}
 }
 
-// TerminationGracePeriod is the time from SIGTERM to SIGKILL.
+// TerminationGracePeriod returns the time from SIGTERM to SIGKILL.
 func (b Bounds) TerminationGracePeriod() time.Duration { return seconds(b.GraceS) }
 
-// RetryWindow is the span of the retry budget.
+// RetryWindow returns the window of the retry budget.
 func (b Bounds) RetryWindow() time.Duration { return seconds(b.RetryWindowS) }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// DefaultFleet returns the settings that a file changes.
+// DefaultFleet returns the defaults, which a settings file overrides.
 func DefaultFleet() Fleet {
 	return Fleet{
 		Metrics: 9464, Processor: 1, MemoryMB: 256, Files: 4096, LogLevel: "info", LogLines: 20,
@@ -111,7 +115,7 @@
 	}
 }
 
-// LoadFleet reads and checks a settings file.
+// LoadFleet reads and validates a settings file.
 func LoadFleet(file string) (Fleet, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -121,7 +125,7 @@
 	return s, findings.Err()
 }
 
-// ParseFleet reads and checks settings; all findings come at once.
+// ParseFleet decodes and validates settings. It returns all findings together.
 func ParseFleet(file string, raw []byte) (Fleet, jsonc.Findings) {
 	s := DefaultFleet()
 	doc := jsonc.Decode(file, raw, &s)
@@ -162,10 +166,11 @@
 	return s, doc.Findings()
 }
 
-// minApplyMs is what the way over two routers and a read of the platform take.
+// minApplyMs is the time that a read of the platform and the forwarding over two routers
+// take.
 const minApplyMs = 500
 
-// minFiles is enough for the listeners and a few dozen requests.
+// minFiles is the number of descriptors for the listeners and a few dozen requests.
 const minFiles = 256
 
 func checkBounds(doc *jsonc.Document, b Bounds) {
@@ -173,13 +178,13 @@
 		doc.Add("/bounds/revokeMs", "must not be negative")
 	}
 	if b.ApplyMs < minApplyMs || b.LeaveMs < minApplyMs {
-		doc.Add("/bounds/applyMs", "must be %d or more, and so must leaveMs", minApplyMs)
+		doc.Add("/bounds/applyMs", "applyMs and leaveMs must be %d or more", minApplyMs)
 	}
 	if b.GraceS <= 0 {
 		doc.Add("/bounds/graceS", "must be more than 0")
 	}
 	if b.RetryRatio < 0 || b.RetryAllowance < 0 {
-		doc.Add("/bounds/retryRatio", "must not be negative, nor retryAllowance")
+		doc.Add("/bounds/retryRatio", "retryRatio and retryAllowance must not be negative")
 	}
 	if b.RetryWindowS <= 0 {
 		doc.Add("/bounds/retryWindowS", "must be more than 0")
@@ -188,21 +193,21 @@
 		doc.Add("/bounds/shareWindowS", "must be more than 0")
 	}
 	if b.WarmUpOverage < 0 || b.WarmUpSlack < 0 {
-		doc.Add("/bounds/warmUpOverage", "must not be negative, nor warmUpSlack")
+		doc.Add("/bounds/warmUpOverage", "warmUpOverage and warmUpSlack must not be negative")
 	}
 	if b.EvacuateMs < minApplyMs {
 		doc.Add("/bounds/evacuateMs", "must be %d or more", minApplyMs)
 	}
 }
 
-func checkAddress(doc *jsonc.Document, at, address string) {
+func checkAddress(doc *jsonc.Document, path, address string) {
 	if _, err := netip.ParseAddrPort(address); err != nil {
-		doc.Add(at, "must be an IP address and a port, such as 10.0.0.1:8080")
+		doc.Add(path, "must be an IP address and a port, such as 10.0.0.1:8080")
 	}
 }
 
-func checkPort(doc *jsonc.Document, at string, port int) {
+func checkPort(doc *jsonc.Document, path string, port int) {
 	if port < 0 || port > 65535 {
-		doc.Add(at, "must be a port")
+		doc.Add(path, "must be a port from 0 to 65535")
 	}
 }
--- a/settings/fleet_test.go
+++ b/settings/fleet_test.go
@@ -8,7 +8,7 @@
 	"github.com/aspenswitch/aspenswitch/settings"
 )
 
-const goodFleet = `// a router
+const validFleet = `// a router
 {
   "name": "r1", "failureDomain": "z", "callers": "10.0.0.1:1", "readiness": "10.0.0.1:2", "control": "10.0.0.1:3",
   "peers": {"ip": "10.0.0.1", "port": 7400, "seeds": ["10.0.0.2:3"]},
@@ -18,13 +18,13 @@
 
 func TestFleetSettingsWithComments(t *testing.T) {
 	g := NewWithT(t)
-	s, findings := settings.ParseFleet("f.json", []byte(goodFleet))
+	s, findings := settings.ParseFleet("f.json", []byte(validFleet))
 	g.Expect(findings.Err()).NotTo(HaveOccurred())
 	g.Expect(s.Bounds.MaxApplyDelay().Milliseconds()).To(Equal(int64(2000)))
 	g.Expect(s.Peers.Seeds).To(Equal([]string{"10.0.0.2:3"}))
 }
 
-// An operator gets all findings at once, each with its place.
+// Guards against a report that stops at the first error or gives wrong lines.
 func TestFleetFindingsComeTogetherWithPlaces(t *testing.T) {
 	g := NewWithT(t)
 	_, findings := settings.ParseFleet("f.json", []byte(`{
@@ -34,17 +34,17 @@
   "processor": 0, "files": 1,
   "bounds": {"graceS": 0, "applyMs": 1, "warmUpSlack": -1, "evacuateMs": 0}
 }`))
-	places := map[string]int{}
+	lines := map[string]int{}
 	for _, f := range findings {
-		places[f.Path] = f.Line
+		lines[f.Path] = f.Line
 	}
-	g.Expect(places).To(HaveKeyWithValue("/callers", 2))
-	g.Expect(places).To(HaveKeyWithValue("/peers/ip", 3))
-	g.Expect(places).To(HaveKeyWithValue("/peers/port", 3))
-	g.Expect(places).To(HaveKeyWithValue("/processor", 5))
-	g.Expect(places).To(HaveKeyWithValue("/files", 5))
-	g.Expect(places).To(HaveKeyWithValue("/bounds/graceS", 6))
-	g.Expect(places).To(HaveKeyWithValue("/bounds/applyMs", 6))
-	g.Expect(places).To(HaveKeyWithValue("/bounds/warmUpOverage", 6))
-	g.Expect(places).To(HaveKeyWithValue("/bounds/evacuateMs", 6))
+	g.Expect(lines).To(HaveKeyWithValue("/callers", 2))
+	g.Expect(lines).To(HaveKeyWithValue("/peers/ip", 3))
+	g.Expect(lines).To(HaveKeyWithValue("/peers/port", 3))
+	g.Expect(lines).To(HaveKeyWithValue("/processor", 5))
+	g.Expect(lines).To(HaveKeyWithValue("/files", 5))
+	g.Expect(lines).To(HaveKeyWithValue("/bounds/graceS", 6))
+	g.Expect(lines).To(HaveKeyWithValue("/bounds/applyMs", 6))
+	g.Expect(lines).To(HaveKeyWithValue("/bounds/warmUpOverage", 6))
+	g.Expect(lines).To(HaveKeyWithValue("/bounds/evacuateMs", 6))
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -7,20 +7,20 @@
 	"github.com/aspenswitch/aspenswitch/jsonc"
 )
 
-// Settings are one router's.
+// Settings holds the settings of one router.
 type Settings struct {
-	// Name is the VM's name on the platform's list.
+	// Name is the VM's name in the platform's list of VMs.
 	Name          string `json:"name"`
 	FailureDomain string `json:"failureDomain"`
-	// Callers, Peers and Admin are where the process listens.
+	// Callers, Peers and Admin are the listeners for callers, other routers and operators.
 	Callers  Listener `json:"callers"`
 	Peers    Listener `json:"peers"`
 	Admin    Admin    `json:"admin"`
 	Platform Platform `json:"platform"`
-	// Operators may sign bundles.
+	// Operators are the operators whose signatures on bundles are accepted.
 	Operators []bundle.Operator `json:"operators"`
 	Scheduler Scheduler         `json:"scheduler"`
-	// ShutdownGrace is how long running answers may go on after SIGTERM.
+	// ShutdownGrace is how long responses in progress may continue after SIGTERM.
 	ShutdownGrace jsonc.Duration `json:"shutdownGrace"`
 	// LogLevel is debug, info, warn or error.
 	LogLevel string `json:"logLevel"`
@@ -29,34 +29,35 @@
 // Listener is an address to listen on, with TLS if a certificate is given.
 type Listener struct {
 	Listen string `json:"listen"`
-	// CertFile and KeyFile are PEM files; they are read again when they change.
+	// CertFile and KeyFile are PEM files; they are reloaded when they change.
 	CertFile string `json:"certFile"`
 	KeyFile  string `json:"keyFile"`
-	// CAFile makes the other side show a certificate of this authority.
+	// CAFile, if set, requires the other side to present a certificate that this
+	// authority signed.
 	CAFile string `json:"caFile"`
 }
 
-// Admin is the operators' listener.
+// Admin is the listener for operators.
 type Admin struct {
 	Listener `json:"listener"`
-	// TokenHash is "sha256:" and the hash of the operators' bearer token.
+	// TokenHash is "sha256:" followed by the hash of the operators' bearer token.
 	TokenHash string `json:"tokenHash"`
 }
 
-// Platform is the users' configuration service.
+// Platform holds the settings of the platform's configuration service.
 type Platform struct {
-	// URL is its base, by IP address.
+	// URL is the base URL, with an IP address as host.
 	URL string `json:"url"`
 	// PollEvery is how often the list of VMs is read.
 	PollEvery jsonc.Duration `json:"pollEvery"`
-	// ListLag is the most that the list of VMs lags behind the truth.
+	// ListLag is the maximum delay until a change of the VMs is in the list.
 	ListLag jsonc.Duration `json:"listLag"`
-	// WatchersPerDomain is how many routers of a failure domain keep a waiting
-	// watch on the bundle; the others learn from their peers.
+	// WatchersPerDomain is the number of routers per failure domain that watch the bundle
+	// by long polling; the others receive it from their peers.
 	WatchersPerDomain int `json:"watchersPerDomain"`
 }
 
-// Scheduler tunes the decision core; see package sched.
+// Scheduler holds the settings of the scheduler; see package sched.
 type Scheduler struct {
 	Hysteresis   float64        `json:"hysteresis"`
 	ReportError  float64        `json:"reportError"`
@@ -67,7 +68,7 @@
 	SuspectAfter jsonc.Duration `json:"suspectAfter"`
 }
 
-// Default returns the settings that a file changes.
+// Default returns the defaults, which a settings file overrides.
 func Default() Settings {
 	return Settings{
 		Platform: Platform{
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -9,7 +9,7 @@
 	"github.com/aspenswitch/aspenswitch/settings"
 )
 
-// The printed file is whole and without findings, and stands for the defaults.
+// Guards against an example file that is invalid or differs from the defaults.
 func TestExampleHasNoFindings(t *testing.T) {
 	g := NewWithT(t)
 	s, findings := settings.Parse("example.json", []byte(settings.Example))
@@ -21,7 +21,7 @@
 	g.Expect(s.Platform.ListLag).To(Equal(d.Platform.ListLag))
 }
 
-// Several things are wrong at once: all are reported, each with its place.
+// Guards against a report that omits some of several errors or their lines.
 func TestAllFindingsComeAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	text := strings.NewReplacer(`"leaseTTL": "3s"`, `"leaseTTL": "500ms"`, `"127.0.0.1:8080"`, `"here"`,
