--- a/gcpace/gcpace_test.go
+++ b/gcpace/gcpace_test.go
@@ -34,8 +34,8 @@
 	g.Expect(p.Percent()).To(Equal(gcpace.MinPercent))
 }
 
-// Guards against a percentage outside its bounds, which would turn collections off or
-// make them too frequent, whatever is observed.
+// Guards against a percentage below MinPercent, with which collections are too frequent or
+// off, and above MaxPercent, with which the heap exceeds the memory, whatever is observed.
 func TestPercentStaysWithinItsBounds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var p gcpace.Pacer
--- a/settings/fleet.go
+++ b/settings/fleet.go
@@ -54,7 +54,7 @@
 	Seeds []string `json:"seeds"`
 }
 
-// Bounds holds the limits that the deployment must meet.
+// Bounds holds the limits that the deployment requires its routers to keep.
 type Bounds struct {
 	// RevokeMs is how long requests with a revoked key may still be served; 0 means
 	// unbounded.
@@ -73,8 +73,8 @@
 	RetryWindowS   float64 `json:"retryWindowS"`
 	// ShareWindowS is the window over which teams' shares are computed.
 	ShareWindowS float64 `json:"shareWindowS"`
-	// WarmUpOverage and WarmUpSlack bound the requests per second that reach an upstream
-	// during its warm-up: a multiple of its warm-up rate, plus a number of requests.
+	// WarmUpOverage and WarmUpSlack bound the requests that reach an upstream in any second
+	// of its warm-up: a multiple of its warm-up rate, plus a number of requests.
 	WarmUpOverage float64 `json:"warmUpOverage"`
 	WarmUpSlack   float64 `json:"warmUpSlack"`
 	// EvacuateMs is the time within which the upstreams of an evacuated failure domain must
