--- a/idempotency/claim.go
+++ b/idempotency/claim.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// ListTolerance is by how many VMs two routers' lists may differ, while the list
-// has changed lately, with their quorums still sharing a voter.
+// ListTolerance is the number of VMs by which the lists of two routers may differ
+// after a recent change while their quorums still share a voter.
 const ListTolerance = 2
 
-// Quorum is the number of votes needed of n voters: two quorums drawn from
-// lists that differ by so many VMs can't be disjoint.
+// Quorum returns the number of votes needed out of n voters, so that two quorums
+// drawn from lists that differ by up to tolerance VMs overlap.
 func Quorum(n, tolerance int) int { return min(n, (n+tolerance)/2+1) }
 
-// Result is what a claim has come to.
+// Result is the state of a claim.
 type Result int
 
 // Results of a claim.
 const (
-	// Pending: votes are still to come.
+	// Pending: votes are outstanding.
 	Pending Result = iota
-	// Won: this owner, and no other, may run the key.
+	// Won: only this owner may run the key.
 	Won
 	// Taken: another owner has votes and may have run the key.
 	Taken
-	// NotRun: no quorum can be had now, and enough voters are free of the key to
-	// prove that nobody ran it.
+	// NotRun: no quorum is available now, and enough voters had no vote for the
+	// key to prove that it did not run.
 	NotRun
-	// Unknown: no quorum can be had, and the key may have run.
+	// Unknown: no quorum is available, and the key may have run.
 	Unknown
 )
 
@@ -32,50 +32,50 @@
 type Claim struct {
 	cfg    Config
 	voters int
-	// tolerance is by how many VMs other routers' lists may differ.
-	tolerance int
-	granted   int
-	other     Owner
-	taken     bool
-	answered  int
-	wonAt     time.Time
+	// tolerance is the number of VMs by which other routers' lists may differ.
+	tolerance  int
+	granted    int
+	otherOwner Owner
+	taken      bool
+	replies    int
+	wonAt      time.Time
 }
 
-// NewClaim begins a claim that so many voters are asked about.
+// NewClaim returns a pending claim that is put to the given number of voters.
 func NewClaim(cfg Config, voters, tolerance int) *Claim {
 	return &Claim{cfg: cfg, voters: voters, tolerance: tolerance}
 }
 
 func (c *Claim) quorum() int { return Quorum(c.voters, c.tolerance) }
 
-// Add counts a voter's answer.
+// Add counts a voter's reply.
 func (c *Claim) Add(now time.Time, v Vote) {
-	c.answered++
+	c.replies++
 	switch {
 	case v.Granted:
 		c.granted++
 	case !v.Abstained:
 		c.taken = true
-		c.other = v.Owner
+		c.otherOwner = v.Owner
 	}
 	if c.granted == c.quorum() {
 		c.wonAt = now
 	}
 }
 
-// AddMissing counts a voter that did not answer.
-func (c *Claim) AddMissing() { c.answered++ }
+// AddMissing counts a voter that did not reply.
+func (c *Claim) AddMissing() { c.replies++ }
 
-// Result tells how the claim stands.
+// Result returns the current state of the claim.
 //
-// A grant says that the voter had not voted before, so a quorum for somebody
-// else would have to do without it, on a list that may hold some other
-// voters. If too few are left for that, the key did not run.
+// A granted vote means that the voter had not voted for another owner, so any
+// other quorum consists of the remaining voters and of up to tolerance voters
+// from a different list. If these are too few for a quorum, the key did not run.
 func (c *Claim) Result() Result {
 	switch {
 	case c.granted >= c.quorum():
 		return Won
-	case c.answered < c.voters:
+	case c.replies < c.voters:
 		return Pending
 	case c.granted > c.voters+c.tolerance-c.quorum():
 		return NotRun
@@ -85,15 +85,15 @@
 	return Unknown
 }
 
-// OtherOwner is an owner that has votes, where there is one.
-func (c *Claim) OtherOwner() (Owner, bool) { return c.other, c.taken }
+// OtherOwner returns another owner that holds a vote, if there is one.
+func (c *Claim) OtherOwner() (Owner, bool) { return c.otherOwner, c.taken }
 
-// Valid reports whether a won claim may still be acted on. Check it at the last
-// moment before sending: a process frozen after its claim could wake when the
-// voters have long forgotten it and another router has run the key.
+// Valid reports whether a won claim may still be used. Check it immediately
+// before sending: a process that was paused after winning its claim may resume
+// when the voters' records have expired and another router has run the key.
 func (c *Claim) Valid(now time.Time) bool {
-	// The monotonic clock may stand still while a whole VM is suspended; the wall
-	// clock shows that time once it is set right.
+	// The monotonic clock may stop while the VM is suspended; the wall clock
+	// includes that time once it is synchronized again.
 	age := max(now.Sub(c.wonAt), now.Round(0).Sub(c.wonAt.Round(0)))
 	return !c.wonAt.IsZero() && age <= c.cfg.ClaimTTL
 }
--- a/idempotency/config.go
+++ b/idempotency/config.go
@@ -2,22 +2,25 @@
 
 import "time"
 
-// Config tunes votes and claims.
+// Config holds the parameters of votes and claims.
 type Config struct {
-	// Retention is how long a vote stands. Callers must not repeat a key for
-	// longer. Longer costs memory: about 200 bytes a key.
+	// Retention is how long votes and records are kept. Callers must not repeat
+	// a key for longer than this. A longer retention takes more memory: about 200
+	// bytes per key.
 	Retention time.Duration
-	// MaxClockSkew is the most that two clocks differ, callers' included.
+	// MaxClockSkew is the largest difference between two clocks, including those
+	// of callers.
 	MaxClockSkew time.Duration
 	// ClaimTTL is how long a claim may be used after it was won. It must be well
-	// below Remember: a process that pauses between its claim and its request
-	// finds the claim too old before the voters forget it.
+	// below Retention, so that the claim of a process that pauses before it sends
+	// the request expires before the votes do.
 	ClaimTTL time.Duration
-	// Voters is how many VMs vote on a key.
+	// Voters is the number of VMs that vote on a key.
 	Voters int
 }
 
-// DefaultConfig returns settings for callers that repeat for ten minutes.
+// DefaultConfig returns the configuration for callers that repeat a key for up
+// to ten minutes.
 func DefaultConfig() Config {
 	return Config{
 		Retention:    20 * time.Minute,
--- a/idempotency/idempotency_test.go
+++ b/idempotency/idempotency_test.go
@@ -18,7 +18,7 @@
 	return idempotency.Owner{Router: "vm1", Incarnation: 1, Attempt: n}
 }
 
-// key returns a UUIDv7 made at a time.
+// key returns a UUIDv7 created at the given time, prefixed with a team ID.
 func key(at time.Time) string {
 	id := uuid.Must(uuid.NewV7())
 	ms := uint64(at.UnixMilli())
@@ -28,9 +28,9 @@
 	return "3/" + id.String()
 }
 
-// A voter restarts between two attempts at one key. It has forgotten that it
-// voted; if it voted again, the key could run twice. It abstains on every key
-// that may be older than itself, also where the caller's clock runs ahead.
+// Guards against a second run of a key when a voter restarts between two attempts
+// and has lost its vote. It must abstain on every key that may be older than its
+// process, even if the caller's clock is ahead.
 func TestRestartedVoterAbstainsOnOlderKeys(t *testing.T) {
 	g := NewWithT(t)
 	start := time.Unix(1_700_000_000, 0)
@@ -38,15 +38,15 @@
 	now := start.Add(time.Minute)
 	g.Expect(v.Vote(now, key(start.Add(-time.Second)), owner(1)).Abstained).To(BeTrue())
 	g.Expect(v.Vote(now, key(start.Add(cfg.MaxClockSkew)), owner(1)).Abstained).To(BeTrue(), "within the clocks' skew")
-	g.Expect(v.Vote(now, key(now.Add(time.Hour)), owner(1)).Abstained).To(BeTrue(), "made in the future")
+	g.Expect(v.Vote(now, key(now.Add(time.Hour)), owner(1)).Abstained).To(BeTrue(), "created in the future")
 	g.Expect(v.Vote(now, "no-uuid", owner(1)).Abstained).To(BeTrue(), "of unknown age")
 	g.Expect(v.Vote(now, key(now), owner(1)).Granted).To(BeTrue())
 	old := start.Add(cfg.Retention + time.Second)
-	g.Expect(v.Vote(old, "no-uuid", owner(1)).Granted).To(BeTrue(), "after its memory spans all repeats")
+	g.Expect(v.Vote(old, "no-uuid", owner(1)).Granted).To(BeTrue(), "after a full retention period")
 }
 
-// A caller repeats a key for ten minutes at many routers. Only the first
-// attempt has the vote, and everybody learns whose it is.
+// Guards against a second vote while a caller repeats a key at many routers for
+// ten minutes. Only the first attempt has the vote, and the others get its owner.
 func TestVoteStandsForAsLongAsCallersRepeat(t *testing.T) {
 	g := NewWithT(t)
 	start := time.Unix(1_700_000_000, 0)
@@ -59,14 +59,14 @@
 		g.Expect(v.Vote(now, k, owner(2))).To(Equal(idempotency.Vote{Owner: owner(1)}))
 	}
 	v.Release(k, owner(2))
-	g.Expect(v.Vote(now, k, owner(3)).Granted).To(BeFalse(), "released by somebody else")
+	g.Expect(v.Vote(now, k, owner(3)).Granted).To(BeFalse(), "released by another owner")
 	v.Release(k, owner(1))
 	g.Expect(v.Vote(now, k, owner(3)).Granted).To(BeTrue())
 }
 
-// A process wins its claim, freezes before it sends, and wakes late. By then the
-// voters have forgotten, and another router may have run the key. The claim must
-// have ended first.
+// Guards against a second run by a process that wins its claim and is paused
+// before it sends. The claim must expire before the votes do, since another
+// router may run the key after that.
 func TestClaimEndsBeforeVotersForget(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1_700_000_000, 0)
@@ -80,8 +80,8 @@
 	g.Expect(2 * cfg.ClaimTTL).To(BeNumerically("<", cfg.Retention))
 }
 
-// The outcome told to a caller who can't be served must be true: not-run only
-// where so many voters are free of the key that nobody can have had a quorum.
+// Guards against a false "not-run" outcome: it may be reported only if too few
+// voters remain for another owner to have had a quorum.
 func TestNotRunIsToldOnlyWhereItIsProved(t *testing.T) {
 	g := NewWithT(t)
 	claim := func(voters, granted, abstained int) idempotency.Result {
@@ -99,23 +99,23 @@
 	}
 	g.Expect(claim(7, 4, 0)).To(Equal(idempotency.Won))
 	g.Expect(claim(7, 3, 0)).To(Equal(idempotency.Unknown), "the four others may have run it")
-	g.Expect(claim(6, 3, 0)).To(Equal(idempotency.NotRun), "three others are no quorum of six")
+	g.Expect(claim(6, 3, 0)).To(Equal(idempotency.NotRun), "the three others are not a quorum of six")
 	g.Expect(claim(6, 2, 4)).To(Equal(idempotency.Unknown))
 }
 
-// Two routers' lists of VMs differ by two: one still names two VMs that were
-// replaced. Their quorums must share a voter all the same.
+// Guards against disjoint quorums when the VM lists of two routers differ by two
+// because one still has two VMs that were replaced.
 func TestQuorumsOfDifferingListsShareAVoter(t *testing.T) {
 	for n := 1; n <= 20; n++ {
 		q := idempotency.Quorum(n, idempotency.ListTolerance)
 		if union := n + idempotency.ListTolerance; 2*q <= union && q < n {
-			t.Errorf("%d voters: two quorums of %d fit into %d VMs", n, q, union)
+			t.Errorf("%d voters: two disjoint quorums of %d fit into %d VMs", n, q, union)
 		}
 	}
 }
 
-// Any number of attempts at one key, at any routers, with votes lost, voters
-// restarted, and attempts given up: at most one of them may ever run it.
+// Guards against two runs of a key: of any number of attempts, with lost votes,
+// restarted voters and abandoned attempts, at most one may run it.
 func TestKeyRunsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const n = 7
@@ -154,7 +154,7 @@
 				}
 			}
 			if c.Result() == idempotency.NotRun && runs > 0 {
-				t.Fatal("told not-run, but it ran")
+				t.Fatal("reported not-run, but it ran")
 			}
 		}
 		if runs > 1 {
--- a/idempotency/key.go
+++ b/idempotency/key.go
@@ -7,14 +7,14 @@
 	"github.com/google/uuid"
 )
 
-// uuidV7 is the version of UUIDs that begin with their mint time.
-const uuidV7 = 7
+// uuidVersion7 is the UUID version that starts with the creation time.
+const uuidVersion7 = 7
 
-// CreationTime returns when a key was made, if it is a UUIDv7. What stands before
-// the last slash names whose key it is.
+// CreationTime returns the time at which a key was created, if it is a UUIDv7.
+// The part before the last slash identifies the key's team and is ignored.
 func CreationTime(key string) (time.Time, bool) {
 	id, err := uuid.Parse(key[strings.LastIndexByte(key, '/')+1:])
-	if err != nil || id.Version() != uuidV7 {
+	if err != nil || id.Version() != uuidVersion7 {
 		return time.Time{}, false
 	}
 	sec, nsec := id.Time().UnixTime()
--- a/idempotency/rapid_test.go
+++ b/idempotency/rapid_test.go
@@ -2,8 +2,8 @@
 
 import "flag"
 
-// CI must give the same verdict each time, so the properties are checked on the
-// same draws; -rapid.seed asks for others.
+// Fixes the seed so that CI checks the properties on the same inputs each time;
+// -rapid.seed selects other inputs.
 func init() {
 	_ = flag.Set("rapid.seed", "20261202")
 	_ = flag.Set("rapid.nofailfile", "true")
--- a/idempotency/records.go
+++ b/idempotency/records.go
@@ -5,87 +5,91 @@
 	"time"
 )
 
-// MaxResponseBytes is the largest answer body that is kept for repeats, in bytes.
+// MaxResponseBytes is the size of the largest response body that is stored for
+// repeated requests.
 const MaxResponseBytes = 64 << 10
 
-// Response is the first run's answer.
+// Response is the upstream's response to the first run of a key.
 type Response struct {
 	Status int         `json:"status"`
 	Header http.Header `json:"header"`
 	Body   []byte      `json:"body"`
 }
 
-// State is how far a key's run is.
+// State is the state of a key's run.
 type State string
 
 // States of a key at the router that owns it.
 const (
-	// Absent: this router never won the key, or gave it up.
+	// Absent: this router never won the key, or abandoned it.
 	Absent State = "absent"
-	// Running: the request may be on its way.
+	// Running: the request may have been sent and is not complete.
 	Running State = "running"
-	// Done: the answer is known.
+	// Done: the response is stored.
 	Done State = "done"
-	// Lost: the request was sent and its answer never came, or is too large to keep.
+	// Lost: the request was sent, but its response was not received or is too
+	// large to store.
 	Lost State = "lost"
 )
 
-// Record is what the owner of a key knows.
+// Record is the owner's record of a key.
 type Record struct {
 	State    State     `json:"state"`
 	Response *Response `json:"answer,omitempty"`
 }
 
-// entry is a record with its time and those who wait for it.
+// entry is a record with its start time and a channel that is closed when the run
+// ends.
 type entry struct {
 	Record
-	at   time.Time
-	done chan struct{}
+	startedAt time.Time
+	done      chan struct{}
 }
 
-// RecordStore keeps the records of the keys that this router owns. It is not safe
+// RecordStore holds the records of the keys that this router owns. It is not safe
 // for concurrent use.
 type RecordStore struct {
-	cfg  Config
-	keys map[string]*entry
+	cfg     Config
+	entries map[string]*entry
 }
 
-// NewRecordStore returns an empty table.
+// NewRecordStore returns an empty store.
 func NewRecordStore(cfg Config) *RecordStore {
-	return &RecordStore{cfg: cfg, keys: map[string]*entry{}}
+	return &RecordStore{cfg: cfg, entries: map[string]*entry{}}
 }
 
-// Begin notes that the key's claim was won here.
-func (a *RecordStore) Begin(now time.Time, key string) {
-	a.sweep(now)
-	a.keys[key] = &entry{Record: Record{State: Running}, at: now, done: make(chan struct{})}
+// Begin records that this router won the key's claim.
+func (s *RecordStore) Begin(now time.Time, key string) {
+	s.sweep(now)
+	s.entries[key] = &entry{Record: Record{State: Running}, startedAt: now, done: make(chan struct{})}
 }
 
-// Complete notes the answer; nil if it was lost.
-func (a *RecordStore) Complete(key string, answer *Response) {
-	e, ok := a.keys[key]
+// Complete records the response of a running key. A nil response means that it
+// was lost.
+func (s *RecordStore) Complete(key string, response *Response) {
+	e, ok := s.entries[key]
 	if !ok || e.State != Running {
 		return
 	}
 	e.Record = Record{State: Lost}
-	if answer != nil && len(answer.Body) <= MaxResponseBytes {
-		e.Record = Record{State: Done, Response: answer}
+	if response != nil && len(response.Body) <= MaxResponseBytes {
+		e.Record = Record{State: Done, Response: response}
 	}
 	close(e.done)
 }
 
-// Abandon forgets a key that was given up without being sent.
-func (a *RecordStore) Abandon(key string) {
-	if e, ok := a.keys[key]; ok && e.State == Running {
-		delete(a.keys, key)
+// Abandon removes a running key whose request was not sent.
+func (s *RecordStore) Abandon(key string) {
+	if e, ok := s.entries[key]; ok && e.State == Running {
+		delete(s.entries, key)
 		close(e.done)
 	}
 }
 
-// Get returns the record of a key and, while it runs, a channel that closes
-// when it has ended.
-func (a *RecordStore) Get(key string) (Record, <-chan struct{}) {
-	e, ok := a.keys[key]
+// Get returns the record of a key and, while the key is running, a channel that
+// is closed when the run ends.
+func (s *RecordStore) Get(key string) (Record, <-chan struct{}) {
+	e, ok := s.entries[key]
 	if !ok {
 		return Record{State: Absent}, nil
 	}
@@ -95,14 +99,14 @@
 	return e.Record, e.done
 }
 
-// sweep forgets records that no repeat can ask for any more.
-func (a *RecordStore) sweep(now time.Time) {
-	for key, e := range a.keys {
-		if e.State != Running && now.Sub(e.at) > a.cfg.Retention {
-			delete(a.keys, key)
+// sweep removes records that are too old for any repeat.
+func (s *RecordStore) sweep(now time.Time) {
+	for key, e := range s.entries {
+		if e.State != Running && now.Sub(e.startedAt) > s.cfg.Retention {
+			delete(s.entries, key)
 		}
 	}
 }
 
-// Len is the number of records.
-func (a *RecordStore) Len() int { return len(a.keys) }
+// Len returns the number of records.
+func (s *RecordStore) Len() int { return len(s.entries) }
--- a/router/claim.go
+++ b/router/claim.go
@@ -11,97 +11,101 @@
 	"github.com/aspenswitch/aspenswitch/idempotency"
 )
 
-// ClaimResult is what came of claiming a key.
+// ClaimResult is the result of claiming a key.
 type ClaimResult struct {
 	Result idempotency.Result
-	// Claim is set after Won.
+	// Claim is set if Result is Won.
 	Claim *KeyClaim
-	// Record is the first run's, where another attempt owns the key.
+	// Record is the record of the first run if another attempt owns the key.
 	Record idempotency.Record
 }
 
-// KeyClaim is the right to run a key once. Exactly one of Drop and Settle must be
-// called.
+// KeyClaim is a won claim on a key: the right to send its request once. Exactly
+// one of Abandon and Complete must be called.
 type KeyClaim struct {
 	r      *Router
 	key    string
 	owner  idempotency.Owner
 	voters []string
-	claim  *idempotency.Claim
-	// list is what the voters were chosen from, tolerance by how much others'
-	// lists may differ.
+	votes  *idempotency.Claim
+	// list is the list that the voters were chosen from; tolerance is the number
+	// of VMs by which other routers' lists may differ from it.
 	list      *vmList
 	tolerance int
 }
 
-// Valid reports whether the right still stands. Check it right before sending.
-func (k *KeyClaim) Valid() bool { return k.claim.Valid(time.Now()) }
+// Valid reports whether the claim may still be used. Check it immediately before
+// sending.
+func (k *KeyClaim) Valid() bool { return k.votes.Valid(time.Now()) }
 
-// Abandon gives the right up; the request was not sent and never will be.
+// Abandon releases the claim. The request must not have been sent and must not be
+// sent later.
 func (k *KeyClaim) Abandon() {
-	k.r.post(drop{key: k.key})
+	k.r.post(abandonRun{key: k.key})
 	k.r.releaseVotes(k.key, k.owner, k.voters)
 }
 
-// Complete keeps the run's answer for repeats; nil if it was lost.
-func (k *KeyClaim) Complete(answer *idempotency.Response) {
-	k.r.post(settle{key: k.key, answer: answer})
+// Complete stores the response for repeats of the key. A nil response means that
+// it was lost.
+func (k *KeyClaim) Complete(response *idempotency.Response) {
+	k.r.post(completeRun{key: k.key, response: response})
 }
 
-// voteTimeout bounds the wait for a vote, answerTimeout the wait for the answer
-// of a run that goes on elsewhere.
+// voteTimeout bounds the wait for votes; recordTimeout bounds the wait for the
+// response of a run at another router.
 const (
-	voteTimeout   = time.Second
-	answerTimeout = 30 * time.Second
-	claimTries    = 3
-	claimJitter   = 50 * time.Millisecond
+	voteTimeout        = time.Second
+	recordTimeout      = 30 * time.Second
+	maxClaimAttempts   = 3
+	maxClaimRetryDelay = 50 * time.Millisecond
 )
 
-// Claim asks the key's voters for the right to run it. Where another attempt
-// won, the record tells how its run went.
+// Claim requests the votes of the key's voters. If another attempt won the key,
+// the result contains the record of its run.
 func (r *Router) Claim(ctx context.Context, key string) ClaimResult {
-	claimed := ClaimResult{Result: idempotency.Unknown}
-	for range claimTries {
-		claimed = r.claimOnce(ctx, key)
-		if claimed.Result != idempotency.Taken || claimed.Record.State != idempotency.Absent {
-			return claimed
+	result := ClaimResult{Result: idempotency.Unknown}
+	for range maxClaimAttempts {
+		result = r.claimOnce(ctx, key)
+		if result.Result != idempotency.Taken || result.Record.State != idempotency.Absent {
+			return result
 		}
-		// Two attempts at once split the votes, or the owner has given up: try
-		// again after a random wait.
-		time.Sleep(rand.N(claimJitter))
+		// Concurrent attempts split the votes, or the owner abandoned the key:
+		// retry after a random delay.
+		time.Sleep(rand.N(maxClaimRetryDelay))
 	}
-	claimed.Result = idempotency.Unknown
-	return claimed
+	result.Result = idempotency.Unknown
+	return result
 }
 
 func (r *Router) claimOnce(ctx context.Context, key string) ClaimResult {
 	list := r.vms.Load()
 	if list == nil || !slices.Contains(list.names, r.cfg.Name) {
-		// Without a list, or dropped from it, this router can't know the voters.
+		// The voters can't be determined without a list, or if this router was
+		// removed from it.
 		return ClaimResult{Result: idempotency.Unknown}
 	}
 	tolerance := list.tolerance(time.Now(), r.cfg.MaxVMListLag)
-	run := &KeyClaim{
+	claim := &KeyClaim{
 		r: r, key: key, voters: r.voters(list, key), list: list, tolerance: tolerance,
 		owner: idempotency.Owner{
 			Router: r.cfg.Name, Incarnation: r.cfg.Incarnation, Attempt: r.lastID.Add(1),
 		},
 	}
-	run.claim = r.collectVotes(ctx, run)
-	result := run.claim.Result()
+	claim.votes = r.collectVotes(ctx, claim)
+	result := claim.votes.Result()
 	if result == idempotency.Won {
-		r.post(begin{key: key})
-		return ClaimResult{Result: result, Claim: run}
+		r.post(beginRun{key: key})
+		return ClaimResult{Result: result, Claim: claim}
 	}
-	r.releaseVotes(key, run.owner, run.voters)
-	if other, taken := run.claim.OtherOwner(); taken && result == idempotency.Taken {
-		return r.askOwner(ctx, key, other)
+	r.releaseVotes(key, claim.owner, claim.voters)
+	if other, taken := claim.votes.OtherOwner(); taken && result == idempotency.Taken {
+		return r.resultFromOwner(ctx, key, other)
 	}
 	return ClaimResult{Result: result}
 }
 
-// voters returns the VMs that vote on a key: the first of the platform's list by
-// rendezvous hashing.
+// voters returns the VMs that vote on a key: the highest-ranked ones of the
+// platform's list by rendezvous hashing.
 func (r *Router) voters(list *vmList, key string) []string {
 	names := slices.Clone(list.names)
 	slices.SortFunc(names, func(a, b string) int {
@@ -117,17 +121,18 @@
 	return names[:min(len(names), r.cfg.Idempotency.Voters)]
 }
 
-// collectVotes asks all voters at once and stops as soon as the result is known.
-func (r *Router) collectVotes(ctx context.Context, run *KeyClaim) *idempotency.Claim {
-	ctx, done := context.WithTimeout(ctx, voteTimeout)
-	defer done()
-	claim := idempotency.NewClaim(r.cfg.Idempotency, len(run.voters), run.tolerance)
-	answers := make(chan *idempotency.Vote, len(run.voters))
-	for _, name := range run.voters {
-		go func() { answers <- r.askVote(ctx, name, run) }()
+// collectVotes queries all voters in parallel and returns as soon as the result is
+// decided.
+func (r *Router) collectVotes(ctx context.Context, keyClaim *KeyClaim) *idempotency.Claim {
+	ctx, cancel := context.WithTimeout(ctx, voteTimeout)
+	defer cancel()
+	claim := idempotency.NewClaim(r.cfg.Idempotency, len(keyClaim.voters), keyClaim.tolerance)
+	votes := make(chan *idempotency.Vote, len(keyClaim.voters))
+	for _, name := range keyClaim.voters {
+		go func() { votes <- r.requestVote(ctx, name, keyClaim) }()
 	}
-	for range run.voters {
-		if v := <-answers; v != nil {
+	for range keyClaim.voters {
+		if v := <-votes; v != nil {
 			claim.Add(time.Now(), *v)
 		} else {
 			claim.AddMissing()
@@ -139,9 +144,9 @@
 	return claim
 }
 
-// message asks for a vote. A run that tolerates no difference between lists
-// tells which one it has.
-func (k *KeyClaim) message() keyMessage {
+// voteRequest returns the parameter of methodVote. A claim that tolerates no
+// difference between lists includes the digest of its list.
+func (k *KeyClaim) voteRequest() keyMessage {
 	m := keyMessage{Key: k.key, Owner: k.owner}
 	if k.tolerance == 0 {
 		m.List = k.list.digest
@@ -149,29 +154,30 @@
 	return m
 }
 
-func (r *Router) askVote(ctx context.Context, name string, run *KeyClaim) *idempotency.Vote {
+func (r *Router) requestVote(ctx context.Context, name string, claim *KeyClaim) *idempotency.Vote {
 	if name == r.cfg.Name {
-		v, err := r.vote(ctx, run.message())
+		v, err := r.localVote(ctx, claim.voteRequest())
 		if err != nil {
 			return nil
 		}
 		return &v
 	}
 	var v idempotency.Vote
-	if err := r.mesh.Call(ctx, name, methodVote, run.message(), &v); err != nil {
+	if err := r.mesh.Call(ctx, name, methodVote, claim.voteRequest(), &v); err != nil {
 		return nil
 	}
 	return &v
 }
 
-// vote asks this router's own voter.
-func (r *Router) vote(ctx context.Context, m keyMessage) (idempotency.Vote, error) {
+// localVote requests a vote from this router's own voter.
+func (r *Router) localVote(ctx context.Context, m keyMessage) (idempotency.Vote, error) {
 	if list := r.vms.Load(); m.List != 0 && (list == nil || m.List != list.digest) {
-		// The asking router counts on everybody having its list.
+		// The quorum of the requesting router is valid only if all voters have
+		// its list.
 		return idempotency.Vote{Abstained: true}, nil
 	}
 	reply := make(chan idempotency.Vote, 1)
-	r.post(vote{key: m.Key, owner: m.Owner, reply: reply})
+	r.post(castVote{key: m.Key, owner: m.Owner, reply: reply})
 	select {
 	case v := <-reply:
 		return v, nil
@@ -182,52 +188,54 @@
 	}
 }
 
-// releaseVotes gives back votes of a claim that was not won, or whose request
-// was never sent.
+// releaseVotes releases the votes of a claim that was not won or whose request was
+// not sent.
 func (r *Router) releaseVotes(key string, owner idempotency.Owner, voters []string) {
 	for _, name := range voters {
 		if name == r.cfg.Name {
-			r.post(release{key: key, owner: owner})
+			r.post(releaseVote{key: key, owner: owner})
 			continue
 		}
 		r.mesh.Notify(name, methodRelease, keyMessage{Key: key, Owner: owner})
 	}
 }
 
-// askOwner asks the router that won a key how its run went.
-func (r *Router) askOwner(ctx context.Context, key string, owner idempotency.Owner) ClaimResult {
-	claimed := ClaimResult{Result: idempotency.Taken, Record: idempotency.Record{State: idempotency.Lost}}
-	ctx, done := context.WithTimeout(ctx, answerTimeout)
-	defer done()
-	record, err := r.recallFrom(ctx, key, owner)
+// resultFromOwner fetches the record of a key from the router that owns it.
+func (r *Router) resultFromOwner(ctx context.Context, key string, owner idempotency.Owner) ClaimResult {
+	result := ClaimResult{Result: idempotency.Taken, Record: idempotency.Record{State: idempotency.Lost}}
+	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
+	defer cancel()
+	record, err := r.requestRecord(ctx, key, owner)
 	if err != nil || record.Incarnation != owner.Incarnation {
-		// The owner is gone, or restarted without memory: the key may have run.
-		return claimed
+		// The owner is unreachable, or it restarted and lost its records: the key
+		// may have run.
+		return result
 	}
-	claimed.Record = record.Record
-	return claimed
+	result.Record = record.Record
+	return result
 }
 
-func (r *Router) recallFrom(ctx context.Context, key string, owner idempotency.Owner) (record ownedRecord, err error) {
+func (r *Router) requestRecord(ctx context.Context, key string, owner idempotency.Owner) (record ownedRecord, err error) {
 	if owner.Router == r.cfg.Name {
-		return r.recall(ctx, key)
+		return r.awaitRecord(ctx, key)
 	}
 	err = r.mesh.Call(ctx, owner.Router, methodAnswer, keyMessage{Key: key, Owner: owner}, &record)
 	return record, err
 }
 
-// ownedRecord is a record with the incarnation of the router that gives it.
+// ownedRecord is a record with the incarnation of the router that owns it.
 type ownedRecord struct {
 	idempotency.Record
 	Incarnation uint64 `json:"inc"`
 }
 
-// recall waits for the end of a key's run here and returns its record.
-func (r *Router) recall(ctx context.Context, key string) (ownedRecord, error) {
+// awaitRecord waits until a key is no longer running on this router and returns
+// its record.
+func (r *Router) awaitRecord(ctx context.Context, key string) (ownedRecord, error) {
 	for {
-		reply := make(chan recalled, 1)
-		r.post(recall{key: key, reply: reply})
-		var got recalled
+		reply := make(chan recordReply, 1)
+		r.post(getRecord{key: key, reply: reply})
+		var got recordReply
 		select {
 		case got = <-reply:
 		case <-r.stopped:
--- a/router/config.go
+++ b/router/config.go
@@ -10,7 +10,7 @@
 	"github.com/aspenswitch/aspenswitch/upstream"
 )
 
-// Config is what a Router runs with.
+// Config holds the configuration of a Router.
 type Config struct {
 	Name          string
 	FailureDomain string
@@ -19,45 +19,48 @@
 	Scheduler     sched.Config
 	Idempotency   idempotency.Config
 	Upstream      upstream.Config
-	// TickInterval is how often the core does what time alone brings about.
+	// TickInterval is the interval at which the scheduler does its time-driven
+	// work.
 	TickInterval time.Duration
-	// VMPollInterval is how often the list of VMs and upstreams' load are read.
+	// VMPollInterval and LoadPollInterval are the intervals at which the list of
+	// VMs and the load of upstreams are read.
 	VMPollInterval, LoadPollInterval time.Duration
-	// MaxVMListLag is the most that the platform's list of VMs lags, at any reader.
+	// MaxVMListLag is the longest time by which any reader's list of VMs lags the
+	// platform.
 	MaxVMListLag time.Duration
-	// WatchTimeout bounds one waiting watch on the platform.
+	// WatchTimeout limits the duration of one watch call to the platform.
 	WatchTimeout      time.Duration
 	WatchersPerDomain int
 }
 
-// Times that settings don't change.
+// Durations that are not configurable.
 const (
-	defaultLoadEvery = 500 * time.Millisecond
-	defaultWatchWait = 20 * time.Second
+	defaultLoadPollInterval = 500 * time.Millisecond
+	defaultWatchTimeout     = 20 * time.Second
 )
 
-// NewConfig returns the configuration that settings ask for.
+// NewConfig returns the configuration for the given settings.
 func NewConfig(s settings.Settings, incarnation uint64) Config {
-	core := sched.DefaultConfig(s.Name, incarnation)
-	core.Hysteresis = s.Scheduler.Hysteresis
-	core.Fairness.ReportError = s.Scheduler.ReportError
-	core.ReportEvery = time.Duration(s.Scheduler.ReportEvery)
-	core.Heartbeat = time.Duration(s.Scheduler.Heartbeat)
-	core.LeaseTTL = time.Duration(s.Scheduler.LeaseTTL)
-	core.SuspectAfter = time.Duration(s.Scheduler.SuspectAfter)
+	scheduler := sched.DefaultConfig(s.Name, incarnation)
+	scheduler.Hysteresis = s.Scheduler.Hysteresis
+	scheduler.Fairness.ReportError = s.Scheduler.ReportError
+	scheduler.ReportEvery = time.Duration(s.Scheduler.ReportEvery)
+	scheduler.Heartbeat = time.Duration(s.Scheduler.Heartbeat)
+	scheduler.LeaseTTL = time.Duration(s.Scheduler.LeaseTTL)
+	scheduler.SuspectAfter = time.Duration(s.Scheduler.SuspectAfter)
 	return Config{
 		Name:              s.Name,
 		FailureDomain:     s.FailureDomain,
 		Incarnation:       incarnation,
 		Operators:         s.Operators,
-		Scheduler:         core,
+		Scheduler:         scheduler,
 		Idempotency:       idempotency.DefaultConfig(),
 		Upstream:          upstream.DefaultConfig(),
 		TickInterval:      time.Duration(s.Scheduler.Tick),
 		VMPollInterval:    time.Duration(s.Platform.PollEvery),
-		LoadPollInterval:  defaultLoadEvery,
+		LoadPollInterval:  defaultLoadPollInterval,
 		MaxVMListLag:      time.Duration(s.Platform.ListLag),
-		WatchTimeout:      defaultWatchWait,
+		WatchTimeout:      defaultWatchTimeout,
 		WatchersPerDomain: s.Platform.WatchersPerDomain,
 	}
 }
--- a/router/control.go
+++ b/router/control.go
@@ -11,49 +11,49 @@
 	"github.com/aspenswitch/aspenswitch/sched"
 )
 
-// control is the state that the control goroutine owns.
-type control struct {
-	r        *Router
-	node     *sched.Node
-	acceptor *bundle.Acceptor
-	voter    *idempotency.Voter
-	answers  *idempotency.RecordStore
-	waiters  map[sched.RequestID]*waiter
-	list     []membership.Listed
-	// held is the latest verified bundle; view is the one in force.
-	held    *offered
-	view    *view
-	told    map[string]tell
-	fetched map[string]bundle.Mark
-	leaving bool
-}
-
-// tell is the last word on the bundle that a peer got.
-type tell struct {
+// controller is the state that the control goroutine owns.
+type controller struct {
+	r         *Router
+	node      *sched.Node
+	acceptor  *bundle.Acceptor
+	voter     *idempotency.Voter
+	records   *idempotency.RecordStore
+	waiters   map[sched.RequestID]*waiter
+	listedVMs []membership.Listed
+	// held is the latest verified bundle; inForce is the one in force.
+	held      *verifiedBundle
+	inForce   *indexedBundle
+	announced map[string]announcement
+	fetched   map[string]bundle.Mark
+	draining  bool
+}
+
+// announcement is the bundle mark that was last sent to a peer.
+type announcement struct {
 	mark        bundle.Mark
 	incarnation uint64
 	at          time.Time
 }
 
-// retellEvery repeats the mark of the bundle to every peer, in case a
-// notification was lost.
-const retellEvery = 5 * time.Second
+// announceInterval is the interval at which the bundle's mark is sent again to
+// each peer, in case a notification was lost.
+const announceInterval = 5 * time.Second
 
-func newControl(r *Router, now time.Time) *control {
-	return &control{
-		r:        r,
-		node:     sched.NewNode(now, r.cfg.Scheduler),
-		acceptor: bundle.NewAcceptor(r.cfg.Name),
-		voter:    idempotency.NewVoter(r.cfg.Idempotency, r.started),
-		answers:  idempotency.NewRecordStore(r.cfg.Idempotency),
-		waiters:  map[sched.RequestID]*waiter{},
-		told:     map[string]tell{},
-		fetched:  map[string]bundle.Mark{},
+func newController(r *Router, now time.Time) *controller {
+	return &controller{
+		r:         r,
+		node:      sched.NewNode(now, r.cfg.Scheduler),
+		acceptor:  bundle.NewAcceptor(r.cfg.Name),
+		voter:     idempotency.NewVoter(r.cfg.Idempotency, r.started),
+		records:   idempotency.NewRecordStore(r.cfg.Idempotency),
+		waiters:   map[sched.RequestID]*waiter{},
+		announced: map[string]announcement{},
+		fetched:   map[string]bundle.Mark{},
 	}
 }
 
-// run is the control goroutine.
-func (c *control) run(stop <-chan struct{}) {
+// run is the body of the control goroutine. It returns when stop is closed.
+func (c *controller) run(stop <-chan struct{}) {
 	ticker := time.NewTicker(c.r.cfg.TickInterval)
 	defer ticker.Stop()
 	for {
@@ -65,95 +65,96 @@
 		case <-ticker.C:
 			c.tick(time.Now())
 		}
-		c.act()
+		c.runActions()
 	}
 }
 
-func (c *control) tick(now time.Time) {
+func (c *controller) tick(now time.Time) {
 	c.node.Tick(now)
-	c.tellMark(now)
+	c.announceMark(now)
 }
 
-// act carries out what the core decided.
-func (c *control) act() {
+// runActions executes the actions that the scheduler returned.
+func (c *controller) runActions() {
 	for _, a := range c.node.Actions() {
 		switch a := a.(type) {
 		case sched.Dispatch:
 			c.dispatch(a)
 		case sched.Refuse:
-			c.answer(a.Request, grant{refusal: &Refusal{Reason: a.Reason, RetryAfter: a.RetryAfter}})
+			c.reply(a.Request, decision{refusal: &Refusal{Reason: a.Reason, RetryAfter: a.RetryAfter}})
 		case sched.Send:
 			c.r.mesh.Notify(a.To, methodSync, a.Sync)
 		case sched.Redial:
-			c.r.log.Info().Str("peer", a.To).Msg("peer does not acknowledge, opening a new connection")
+			c.r.log.Info().Str("peer", a.To).Msg("peer does not acknowledge messages; opening a new connection")
 			c.r.mesh.Redial(a.To)
 		}
 	}
 }
 
-func (c *control) dispatch(a sched.Dispatch) {
-	c.answer(a.Request, grant{upstream: a.Upstream, until: a.LeaseExpiry})
+func (c *controller) dispatch(a sched.Dispatch) {
+	c.reply(a.Request, decision{upstream: a.Upstream, leaseExpiry: a.LeaseExpiry})
 }
 
-func (c *control) answer(id sched.RequestID, g grant) {
+func (c *controller) reply(id sched.RequestID, d decision) {
 	w, ok := c.waiters[id]
 	if !ok {
 		return
 	}
 	delete(c.waiters, id)
-	w.grant <- g
+	w.decision <- d
 }
 
-func (c *control) synced(now time.Time, s sched.Sync) {
+func (c *controller) receiveSync(now time.Time, s sched.Sync) {
 	c.node.Receive(now, s)
-	if t := c.told[s.From]; t.incarnation != s.Incarnation {
-		c.tellPeer(now, s.From, s.Incarnation)
+	if t := c.announced[s.From]; t.incarnation != s.Incarnation {
+		c.announceMarkTo(now, s.From, s.Incarnation)
 	}
 }
 
-// heard takes in which bundle a peer holds, and fetches it if it is the better.
-func (c *control) heard(peer string, m bundle.Mark) {
+// receiveMark records which bundle a peer holds and fetches the bundle if the
+// acceptor prefers it to the held one.
+func (c *controller) receiveMark(peer string, m bundle.Mark) {
 	fetch := c.acceptor.Hear(peer, m)
-	c.enforce()
+	c.applyHeldBundle()
 	if fetch && c.fetched[peer] != m {
 		c.fetched[peer] = m
 		go c.r.fetchBundle(peer, m)
 	}
 }
 
-// offer judges a verified bundle.
-func (c *control) offer(now time.Time, o offered) {
+// offerBundle offers a verified bundle to the acceptor and holds it if accepted.
+func (c *controller) offerBundle(now time.Time, o verifiedBundle) {
 	m := bundle.Mark{Version: o.bundle.Version, Digest: o.signed.Digest()}
 	log := c.r.log.With().Uint64("version", m.Version).Str("digest", m.Digest).Str("from", o.from).Logger()
 	switch c.acceptor.Offer(m) {
 	case bundle.Held:
 		log.Info().Msg("bundle held")
 		c.held = &o
-		c.enforce()
-		c.tellMark(now)
+		c.applyHeldBundle()
+		c.announceMark(now)
 	case bundle.Conflict:
 		c.r.metrics.Scope.Counter("bundle_conflicts").Inc(1)
-		log.Error().Msg("refused: another content of this version is held")
+		log.Error().Msg("conflicting bundle ignored: the held bundle has the same version but different content")
 	case bundle.Stale:
-		log.Debug().Msg("refused: a later version is held")
+		log.Debug().Msg("stale bundle ignored: a later version is held")
 	}
 }
 
-// enforce puts the held bundle in force once it is accepted.
-func (c *control) enforce() {
+// applyHeldBundle puts the held bundle in force once the acceptor allows it.
+func (c *controller) applyHeldBundle() {
 	m := c.acceptor.InForce()
-	if c.held == nil || (c.view != nil && c.view.Mark == m) || m != c.acceptor.Latest() || m.Version == 0 {
+	if c.held == nil || (c.inForce != nil && c.inForce.Mark == m) || m != c.acceptor.Latest() || m.Version == 0 {
 		return
 	}
-	c.view = newView(m, c.held.bundle)
-	c.r.view.Store(c.view)
-	c.node.SetQueueLimit(c.view.Bundle.Limits.QueuePerTeam)
-	c.node.Configure(time.Now(), coreSettings(c.view.Bundle))
+	c.inForce = newIndexedBundle(m, c.held.bundle)
+	c.r.inForce.Store(c.inForce)
+	c.node.SetQueueLimit(c.inForce.Bundle.Limits.QueuePerTeam)
+	c.node.Configure(time.Now(), schedSettings(c.inForce.Bundle))
 	c.r.log.Info().Uint64("version", m.Version).Msg("bundle in force")
 }
 
-// coreSettings picks what the core decides by.
-func coreSettings(b *bundle.Bundle) sched.Settings {
+// schedSettings returns the scheduler settings of a bundle.
+func schedSettings(b *bundle.Bundle) sched.Settings {
 	var s sched.Settings
 	poolID := map[string]int{}
 	for _, p := range b.Pools {
@@ -171,8 +172,8 @@
 	return s
 }
 
-// setList takes in the platform's list of VMs.
-func (c *control) setList(now time.Time, list []membership.Listed) {
+// setVMs applies the platform's list of VMs.
+func (c *controller) setVMs(now time.Time, list []membership.Listed) {
 	var names []string
 	for _, l := range list {
 		names = append(names, l.Name)
@@ -182,10 +183,10 @@
 	if slices.Contains(names, c.r.cfg.Name) {
 		c.r.wasListed.Store(true)
 	}
-	if slices.Equal(list, c.list) {
+	if slices.Equal(list, c.listedVMs) {
 		return
 	}
-	c.list = list
+	c.listedVMs = list
 	addresses := map[string]string{}
 	for _, l := range list {
 		if l.Name != c.r.cfg.Name {
@@ -195,22 +196,23 @@
 	c.r.mesh.SetAddresses(addresses)
 	c.acceptor.SetList(names)
 	c.node.SetList(now, list)
-	c.enforce()
+	c.applyHeldBundle()
 }
 
-// tellMark tells the peers which bundle this router holds, where they don't know.
-func (c *control) tellMark(now time.Time) {
-	for _, l := range c.list {
-		t := c.told[l.Name]
-		if l.Name == c.r.cfg.Name || (t.mark == c.acceptor.Latest() && now.Sub(t.at) < retellEvery) {
+// announceMark sends the mark of the held bundle to each peer that was not sent it
+// within announceInterval.
+func (c *controller) announceMark(now time.Time) {
+	for _, l := range c.listedVMs {
+		t := c.announced[l.Name]
+		if l.Name == c.r.cfg.Name || (t.mark == c.acceptor.Latest() && now.Sub(t.at) < announceInterval) {
 			continue
 		}
-		c.tellPeer(now, l.Name, t.incarnation)
+		c.announceMarkTo(now, l.Name, t.incarnation)
 	}
 }
 
-func (c *control) tellPeer(now time.Time, peer string, incarnation uint64) {
+func (c *controller) announceMarkTo(now time.Time, peer string, incarnation uint64) {
 	m := c.acceptor.Latest()
-	c.told[peer] = tell{mark: m, incarnation: incarnation, at: now}
+	c.announced[peer] = announcement{mark: m, incarnation: incarnation, at: now}
 	c.r.mesh.Notify(peer, methodMark, markMessage{From: c.r.cfg.Name, Mark: m})
 }
--- a/router/control_internal_test.go
+++ b/router/control_internal_test.go
@@ -8,10 +8,11 @@
 	"github.com/aspenswitch/aspenswitch/bundle"
 )
 
-// Guards against new work for the upstreams of a failure domain that the bundle evacuates.
+// Guards against new requests for upstreams in a failure domain that the bundle
+// evacuates.
 func TestEvacuatedUpstreamsTakeNoWork(t *testing.T) {
 	g := NewWithT(t)
-	s := coreSettings(&bundle.Bundle{
+	s := schedSettings(&bundle.Bundle{
 		Pools:     []bundle.Pool{{ID: 1, Name: "planning"}},
 		Upstreams: []bundle.Upstream{{ID: 1, Pool: "planning", FailureDomain: "north"}, {ID: 2, Pool: "planning", FailureDomain: "south"}},
 		Evacuated: []string{"north"},
--- a/router/doc.go
+++ b/router/doc.go
@@ -1,4 +1,4 @@
-// Package router ties the decision core to the world. One control goroutine owns
-// all control state: the scheduler node, the bundle acceptor, the idempotency
-// voter and answers. Handlers of traffic talk to it by typed messages.
+// Package router connects the scheduler to the network. A single control goroutine
+// owns all control state: the scheduler node, the bundle acceptor, the idempotency
+// voter and the idempotency records. Request handlers send it typed messages.
 package router
--- a/router/dump.go
+++ b/router/dump.go
@@ -8,7 +8,7 @@
 	"github.com/aspenswitch/aspenswitch/sched"
 )
 
-// Dump is the whole state of a router process, without secrets.
+// Dump is the full state of a router process, without secrets.
 type Dump struct {
 	Name          string           `json:"name"`
 	FailureDomain string           `json:"failureDomain"`
@@ -21,7 +21,8 @@
 	Held          bundle.Mark      `json:"bundleHeld"`
 	InForce       bundle.Mark      `json:"bundleInForce"`
 	Conflicts     []bundle.Mark    `json:"bundleConflicts,omitempty"`
-	// MajorityReported is set once most listed VMs have told which bundle they hold.
+	// MajorityReported is set once a majority of the listed VMs have reported
+	// which bundle they hold.
 	MajorityReported bool                `json:"bundleHeardMajority"`
 	Votes            int                 `json:"votes"`
 	StoredResponses  int                 `json:"answersKept"`
@@ -29,17 +30,17 @@
 	Scheduler        sched.Dump          `json:"core"`
 }
 
-// Dump returns the state now.
+// Dump returns the current state.
 func (r *Router) Dump() Dump {
 	d := Dump{
 		Name: r.cfg.Name, FailureDomain: r.cfg.FailureDomain, Ready: r.Ready(),
 		Watching: r.watching.Load(), PlatformCalls: r.platform.Calls(),
 		PeerBytes: r.mesh.Sent(), PeerMessages: r.mesh.SentBy(), PeerDropped: r.mesh.Dropped(),
 	}
-	r.inspect(func(c *control) {
+	r.inspect(func(c *controller) {
 		d.Held, d.InForce, d.Conflicts = c.acceptor.Latest(), c.acceptor.InForce(), c.acceptor.Conflicts()
 		d.MajorityReported = c.acceptor.Ready()
-		d.Votes, d.StoredResponses, d.VMs = c.voter.Len(), c.answers.Len(), c.list
+		d.Votes, d.StoredResponses, d.VMs = c.voter.Len(), c.records.Len(), c.listedVMs
 		d.Scheduler = c.node.Dump(time.Now())
 	})
 	return d
--- a/router/message.go
+++ b/router/message.go
@@ -10,139 +10,142 @@
 	"github.com/aspenswitch/aspenswitch/sched"
 )
 
-// message is something that the control goroutine must take in. Only that
-// goroutine calls apply.
+// message is an input of the control goroutine. Only that goroutine calls apply.
 type message interface {
-	apply(c *control, now time.Time)
+	apply(c *controller, now time.Time)
 }
 
-// arrive asks for a slot.
-type arrive struct {
+// acquireSlot requests a slot.
+type acquireSlot struct {
 	request sched.Request
 	waiter  *waiter
 }
 
-// cancel gives up a request whose caller left.
-type cancel struct{ id sched.RequestID }
+// cancelRequest cancels a request whose caller disconnected.
+type cancelRequest struct{ id sched.RequestID }
 
-// finish ends a request that held a slot.
-type finish struct{ id sched.RequestID }
+// finishRequest ends a request that held a slot.
+type finishRequest struct{ id sched.RequestID }
 
-// fail ends a request that its upstream did not serve.
-type fail struct {
+// failRequest ends a request that its upstream failed to serve.
+type failRequest struct {
 	id    sched.RequestID
 	avoid time.Duration
 }
 
-// synced is a peer's message to the core.
-type synced struct{ sync sched.Sync }
+// peerSync is a peer's scheduler state.
+type peerSync struct{ sync sched.Sync }
 
-// marked is a peer's word of the bundle that it holds.
-type marked struct {
+// peerMark is the mark of the bundle that a peer holds.
+type peerMark struct {
 	peer string
 	mark bundle.Mark
 }
 
-// offered is a verified bundle.
-type offered struct {
+// verifiedBundle is a bundle whose signatures were verified.
+type verifiedBundle struct {
 	signed *bundle.Signed
 	bundle *bundle.Bundle
 	from   string
 }
 
-// listed is the platform's list of VMs.
-type listed struct{ list []membership.Listed }
+// vmListUpdate is the platform's list of VMs.
+type vmListUpdate struct{ list []membership.Listed }
 
-// loaded is an upstream's load report.
-type loaded struct {
+// loadReport is an upstream's load report.
+type loadReport struct {
 	pool, upstream int
 	load           limits.Load
 }
 
-// vote asks this router's voter for its vote on a key.
-type vote struct {
+// castVote requests the vote of this router's voter on a key.
+type castVote struct {
 	key   string
 	owner idempotency.Owner
 	reply chan idempotency.Vote
 }
 
-// release takes a vote back.
-type release struct {
+// releaseVote releases a vote.
+type releaseVote struct {
 	key   string
 	owner idempotency.Owner
 }
 
-// begin and settle frame the run of a key that this router won; settle without
-// an answer means that it was lost, drop that it was never sent.
+// beginRun starts the run of a key that this router won, completeRun ends it, and
+// abandonRun ends it if the request was not sent. A nil response in completeRun
+// means that the response was lost.
 type (
-	begin  struct{ key string }
-	settle struct {
-		key    string
-		answer *idempotency.Response
+	beginRun    struct{ key string }
+	completeRun struct {
+		key      string
+		response *idempotency.Response
 	}
-	drop struct{ key string }
+	abandonRun struct{ key string }
 )
 
-// recall asks what is known of a key that this router won.
-type recall struct {
+// getRecord requests the record of a key that this router won.
+type getRecord struct {
 	key   string
-	reply chan recalled
+	reply chan recordReply
 }
 
-// recalled is the answer to recall; done closes when a running key has ended.
-type recalled struct {
+// recordReply is the reply to getRecord. While the key is running, done is not nil
+// and is closed when the run ends.
+type recordReply struct {
 	record idempotency.Record
 	done   <-chan struct{}
 }
 
-// inspect runs a function that reads the control state.
-type inspect struct {
-	read func(*control)
+// inspectState calls a function that reads the control state.
+type inspectState struct {
+	read func(*controller)
 	done chan struct{}
 }
 
-// leave begins a graceful shutdown.
-type leave struct{}
+// beginDrain begins a graceful shutdown.
+type beginDrain struct{}
 
-func (m arrive) apply(c *control, now time.Time) {
+func (m acquireSlot) apply(c *controller, now time.Time) {
 	c.waiters[m.request.ID] = m.waiter
 	c.node.Submit(now, m.request)
 }
 
-func (m cancel) apply(c *control, now time.Time) {
+func (m cancelRequest) apply(c *controller, now time.Time) {
 	if c.node.Cancel(now, m.id) {
 		delete(c.waiters, m.id)
 		return
 	}
-	// The slot was given while the caller left: it goes back unused.
+	// The slot was granted while the caller disconnected; release it unused.
 	c.node.Finish(now, m.id)
 }
 
-func (m finish) apply(c *control, now time.Time) { c.node.Finish(now, m.id) }
-func (m fail) apply(c *control, now time.Time)   { c.node.Fail(now, m.id, m.avoid) }
-func (m synced) apply(c *control, now time.Time) { c.synced(now, m.sync) }
-func (m marked) apply(c *control, _ time.Time)   { c.heard(m.peer, m.mark) }
-func (m offered) apply(c *control, now time.Time) {
-	c.offer(now, m)
+func (m finishRequest) apply(c *controller, now time.Time) { c.node.Finish(now, m.id) }
+func (m failRequest) apply(c *controller, now time.Time)   { c.node.Fail(now, m.id, m.avoid) }
+func (m peerSync) apply(c *controller, now time.Time)      { c.receiveSync(now, m.sync) }
+func (m peerMark) apply(c *controller, _ time.Time)        { c.receiveMark(m.peer, m.mark) }
+func (m verifiedBundle) apply(c *controller, now time.Time) {
+	c.offerBundle(now, m)
 }
-func (m listed) apply(c *control, now time.Time) { c.setList(now, m.list) }
-func (m loaded) apply(c *control, now time.Time) { c.node.ObserveLoad(now, m.pool, m.upstream, m.load) }
-func (m vote) apply(c *control, _ time.Time) {
+func (m vmListUpdate) apply(c *controller, now time.Time) { c.setVMs(now, m.list) }
+func (m loadReport) apply(c *controller, now time.Time) {
+	c.node.ObserveLoad(now, m.pool, m.upstream, m.load)
+}
+func (m castVote) apply(c *controller, _ time.Time) {
 	m.reply <- c.voter.Vote(time.Now(), m.key, m.owner)
 }
-func (m release) apply(c *control, _ time.Time) { c.voter.Release(m.key, m.owner) }
-func (m begin) apply(c *control, now time.Time) { c.answers.Begin(now, m.key) }
-func (m settle) apply(c *control, _ time.Time)  { c.answers.Complete(m.key, m.answer) }
-func (m drop) apply(c *control, _ time.Time)    { c.answers.Abandon(m.key) }
-func (m recall) apply(c *control, _ time.Time) {
-	record, done := c.answers.Get(m.key)
-	m.reply <- recalled{record: record, done: done}
+func (m releaseVote) apply(c *controller, _ time.Time) { c.voter.Release(m.key, m.owner) }
+func (m beginRun) apply(c *controller, now time.Time)  { c.records.Begin(now, m.key) }
+func (m completeRun) apply(c *controller, _ time.Time) { c.records.Complete(m.key, m.response) }
+func (m abandonRun) apply(c *controller, _ time.Time)  { c.records.Abandon(m.key) }
+func (m getRecord) apply(c *controller, _ time.Time) {
+	record, done := c.records.Get(m.key)
+	m.reply <- recordReply{record: record, done: done}
 }
-func (m inspect) apply(c *control, _ time.Time) {
+func (m inspectState) apply(c *controller, _ time.Time) {
 	m.read(c)
 	close(m.done)
 }
-func (m leave) apply(c *control, now time.Time) {
-	c.leaving = true
+func (m beginDrain) apply(c *controller, now time.Time) {
+	c.draining = true
 	c.node.Leave(now)
 }
--- a/router/peers.go
+++ b/router/peers.go
@@ -13,15 +13,16 @@
 const (
 	// methodSync carries a sched.Sync; a notification.
 	methodSync = "sync"
-	// methodMark tells which bundle the sender holds; a notification.
+	// methodMark carries the mark of the bundle that the sender holds; a
+	// notification.
 	methodMark = "mark"
-	// methodBundle asks for the signed bundle that the receiver holds.
+	// methodBundle requests the signed bundle that the receiver holds.
 	methodBundle = "bundle"
-	// methodVote asks for a vote on a key.
+	// methodVote requests a vote on a key.
 	methodVote = "vote"
-	// methodRelease takes a vote back; a notification.
+	// methodRelease releases a vote; a notification.
 	methodRelease = "release"
-	// methodAnswer asks the owner of a key for its answer.
+	// methodAnswer requests the record of a key from its owner.
 	methodAnswer = "answer"
 )
 
@@ -35,19 +36,19 @@
 type keyMessage struct {
 	Key   string            `json:"key"`
 	Owner idempotency.Owner `json:"owner"`
-	// List is the digest of the sender's list of VMs, where a voter must have the
-	// same; 0 where it need not.
+	// List is the digest of the sender's VM list if the voter must have the same
+	// list, else 0.
 	List uint64 `json:"list,omitempty"`
 }
 
-// peerHandler takes in what peers send.
+// peerHandler handles the messages of peers.
 type peerHandler struct{ r *Router }
 
 // Notify implements peer.Handler.
 func (h *peerHandler) Notify(method string, params json.RawMessage) {
 	m, err := parseNotification(method, params)
 	if err != nil {
-		h.r.log.Warn().Err(err).Str("method", method).Msg("peer sent a notification that can't be read")
+		h.r.log.Warn().Err(err).Str("method", method).Msg("invalid notification from a peer")
 		return
 	}
 	h.r.post(m)
@@ -56,17 +57,17 @@
 func parseNotification(method string, params json.RawMessage) (message, error) {
 	switch method {
 	case methodSync:
-		var m synced
+		var m peerSync
 		err := json.Unmarshal(params, &m.sync)
 		return m, err
 	case methodMark:
 		var m markMessage
 		err := json.Unmarshal(params, &m)
-		return marked{peer: m.From, mark: m.Mark}, err
+		return peerMark{peer: m.From, mark: m.Mark}, err
 	case methodRelease:
 		var m keyMessage
 		err := json.Unmarshal(params, &m)
-		return release{key: m.Key, owner: m.Owner}, err
+		return releaseVote{key: m.Key, owner: m.Owner}, err
 	}
 	return nil, Error.New("unknown notification %q", method)
 }
@@ -81,20 +82,20 @@
 		if err := json.Unmarshal(params, &m); err != nil {
 			return nil, Error.Wrap(err)
 		}
-		return h.r.vote(ctx, m)
+		return h.r.localVote(ctx, m)
 	case methodAnswer:
 		var m keyMessage
 		if err := json.Unmarshal(params, &m); err != nil {
 			return nil, Error.Wrap(err)
 		}
-		return h.r.recall(ctx, m.Key)
+		return h.r.awaitRecord(ctx, m.Key)
 	}
 	return nil, Error.New("unknown method %q", method)
 }
 
 func (r *Router) heldBundle() *bundle.Signed {
 	var signed *bundle.Signed
-	r.inspect(func(c *control) {
+	r.inspect(func(c *controller) {
 		if c.held != nil {
 			signed = c.held.signed
 		}
@@ -102,24 +103,24 @@
 	return signed
 }
 
-// fetchTimeout bounds the fetch of a bundle from a peer.
-const fetchTimeout = 5 * time.Second
+// bundleFetchTimeout bounds the fetch of a bundle from a peer.
+const bundleFetchTimeout = 5 * time.Second
 
-// fetchBundle gets a bundle that a peer holds. Its signatures are checked like
-// the platform's: a peer is trusted to pass on, not to make.
+// fetchBundle fetches a bundle from a peer. Its signatures are verified as for a
+// bundle from the platform: a peer is trusted to relay bundles, not to create them.
 func (r *Router) fetchBundle(peer string, m bundle.Mark) {
-	ctx, done := context.WithTimeout(r.ctx, fetchTimeout)
-	defer done()
+	ctx, cancel := context.WithTimeout(r.ctx, bundleFetchTimeout)
+	defer cancel()
 	var signed *bundle.Signed
 	if err := r.mesh.Call(ctx, peer, methodBundle, struct{}{}, &signed); err != nil || signed == nil {
-		r.log.Warn().Err(err).Str("peer", peer).Msg("bundle not fetched")
-		r.inspect(func(c *control) { delete(c.fetched, peer) })
+		r.log.Warn().Err(err).Str("peer", peer).Msg("failed to fetch the bundle")
+		r.inspect(func(c *controller) { delete(c.fetched, peer) })
 		return
 	}
 	r.offerSigned(signed, peer)
 }
 
-// offerSigned verifies a bundle and hands it to control.
+// offerSigned verifies a bundle and sends it to the control goroutine.
 func (r *Router) offerSigned(signed *bundle.Signed, from string) {
 	b, err := signed.Open(r.cfg.Operators)
 	if err != nil {
@@ -127,5 +128,5 @@
 		r.log.Error().Err(err).Str("from", from).Msg("bundle refused")
 		return
 	}
-	r.post(offered{signed: signed, bundle: b, from: from})
+	r.post(verifiedBundle{signed: signed, bundle: b, from: from})
 }
--- a/router/ready_test.go
+++ b/router/ready_test.go
@@ -23,10 +23,10 @@
 	"github.com/aspenswitch/aspenswitch/standin"
 )
 
-// patience bounds the wait for a condition that must come true.
-const patience = 10 * time.Second
+// waitTimeout limits the wait for a condition that must become true.
+const waitTimeout = 10 * time.Second
 
-// fixture is one router, not started, before a stand-in of the platform that has
+// fixture is a router that is not started yet and a stand-in platform that has
 // published a bundle.
 type fixture struct {
 	platform *standin.Platform
@@ -62,8 +62,8 @@
 	return f
 }
 
-// listRouter publishes a list of VMs that names the router.
-func (f *fixture) listRouter(g *WithT) {
+// publishVMList publishes a list of VMs that includes the router.
+func (f *fixture) publishVMList(g *WithT) {
 	raw, err := json.Marshal([]membership.Listed{{Name: "vm1", FailureDomain: "a", Address: f.address}})
 	g.Expect(err).NotTo(HaveOccurred())
 	f.platform.SetVMs(raw)
@@ -90,10 +90,10 @@
 	return raw, operators
 }
 
-// awaitReady polls without a pause, so that what follows comes in the first
-// moment of readiness.
+// awaitReady polls at a very short interval, so that the caller continues as soon
+// as the router is ready.
 func (f *fixture) awaitReady(g *WithT) {
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for !f.router.Ready() {
 		g.Expect(time.Now().Before(deadline)).To(BeTrue(), "never ready")
 		time.Sleep(50 * time.Microsecond)
@@ -102,14 +102,14 @@
 
 func freshKey() string { return "1/" + uuid.Must(uuid.NewV7()).String() }
 
-// A router is made, and its control loop starts a little later, as on a busy VM.
-// A booking that comes in the first moment of readiness gets a vote: its key is
-// younger than the voter. If readiness counted from an earlier moment than the
-// voter's memory, that booking would be answered "unknown" for nothing.
+// Guards against a needless "unknown" for a non-repeatable request (a booking) that
+// arrives as soon as the router is ready. It would come about if readiness counted
+// from an earlier time than the voter's start, as the control goroutine starts some
+// time after New on a busy VM: the key must be younger than the voter.
 func TestFirstBookingAfterReadinessGetsAVote(t *testing.T) {
 	g := NewWithT(t)
 	f := newFixture(t)
-	f.listRouter(g)
+	f.publishVMList(g)
 	time.Sleep(150 * time.Millisecond)
 	f.router.Start()
 	f.awaitReady(g)
@@ -118,16 +118,17 @@
 	claimed.Claim.Abandon()
 }
 
-// The platform has a bundle but doesn't yet list this VM. The router can't know
-// who votes on a key, so every booking would be answered "unknown". It stays out
-// of the balancer's rotation until it is listed.
+// Guards against readiness of a router that the platform doesn't list yet, although
+// the bundle is in force. It can't determine the voters of a key, so every
+// non-repeatable request would get the outcome "unknown". The load balancer must
+// not use it.
 func TestUnlistedRouterIsNotReady(t *testing.T) {
 	g := NewWithT(t)
 	f := newFixture(t)
 	f.router.Start()
-	g.Eventually(f.router.Bundle, patience, "5ms").ShouldNot(BeNil())
+	g.Eventually(f.router.Bundle, waitTimeout, "5ms").ShouldNot(BeNil())
 	g.Consistently(f.router.Ready, "300ms", "5ms").Should(BeFalse())
-	f.listRouter(g)
+	f.publishVMList(g)
 	f.awaitReady(g)
 	claimed := f.router.Claim(context.Background(), freshKey())
 	g.Expect(claimed.Result).To(Equal(idempotency.Won))
--- a/router/router.go
+++ b/router/router.go
@@ -20,10 +20,11 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("router")
 
-// messageQueue is how many messages wait for the control goroutine.
-const messageQueue = 1024
+// messageQueueLen is the capacity of the control goroutine's message queue.
+const messageQueueLen = 1024
 
-// Router is one router process's library.
+// Router is the core of a router process: it schedules requests, claims
+// idempotency keys and keeps the bundle up to date.
 type Router struct {
 	cfg       Config
 	log       zerolog.Logger
@@ -39,34 +40,34 @@
 	ctx      context.Context
 	cancel   context.CancelFunc
 	lastID   atomic.Uint64
-	view     atomic.Pointer[view]
+	inForce  atomic.Pointer[indexedBundle]
 	vms      atomic.Pointer[vmList]
 	watching atomic.Bool
-	leaving  atomic.Bool
-	// wasListed is set once the platform's list of VMs has named this one.
+	draining atomic.Bool
+	// wasListed is set once the platform's list of VMs has included this one.
 	wasListed atomic.Bool
-	// started is when this process's memory of votes began.
+	// started is the time since which this process has kept its votes.
 	started time.Time
 }
 
-// Deps are what a Router is given to work with.
+// Deps holds the dependencies of a Router.
 type Deps struct {
 	Log     zerolog.Logger
 	Metrics *obs.Metrics
-	// PeerListener is where the router listens for its peers.
+	// PeerListener accepts connections from peers.
 	PeerListener net.Listener
 	Platform     *bundlefeed.Client
-	// PeerTLS is used between routers where it is set.
+	// PeerTLS is used between routers if it is set.
 	PeerTLS PeerTLS
 }
 
-// New returns a router. Start begins its work.
+// New returns a router that does nothing until Start is called.
 func New(cfg Config, d Deps) *Router {
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &Router{
 		cfg: cfg, log: d.Log, metrics: d.Metrics, platform: d.Platform,
 		Upstreams: upstream.NewClient(cfg.Upstream),
-		messages:  make(chan message, messageQueue),
+		messages:  make(chan message, messageQueueLen),
 		stopped:   make(chan struct{}),
 		started:   time.Now(),
 		ctx:       ctx, cancel: cancel,
@@ -77,9 +78,9 @@
 	return r
 }
 
-// Start begins control, peers, and watches.
+// Start starts the control goroutine, the peer listener, and the polls and watches.
 func (r *Router) Start() {
-	c := newControl(r, time.Now())
+	c := newController(r, time.Now())
 	r.wg.Go(func() { c.run(r.stopped) })
 	r.wg.Go(r.mesh.Serve)
 	r.wg.Go(r.pollVMs)
@@ -87,7 +88,7 @@
 	r.wg.Go(r.pollLoads)
 }
 
-// Stop ends everything at once. Call Drain first for a graceful shutdown.
+// Stop stops the router immediately. Call Drain first for a graceful shutdown.
 func (r *Router) Stop() {
 	r.stopOnce.Do(func() {
 		r.cancel()
@@ -98,16 +99,17 @@
 	})
 }
 
-// Drain begins a graceful shutdown: nothing new is taken, and it returns when
-// nothing runs any more or ctx ends. It returns how many requests still ran.
+// Drain begins a graceful shutdown. The router accepts no new requests, and Drain
+// returns when no request is running or ctx ends. It returns the number of
+// requests that are still running.
 func (r *Router) Drain(ctx context.Context) int {
-	r.leaving.Store(true)
-	r.post(leave{})
+	r.draining.Store(true)
+	r.post(beginDrain{})
 	ticker := time.NewTicker(r.cfg.TickInterval)
 	defer ticker.Stop()
 	for {
 		running := 0
-		r.inspect(func(c *control) { running = c.node.Running() })
+		r.inspect(func(c *controller) { running = c.node.Running() })
 		if running == 0 {
 			return 0
 		}
@@ -119,7 +121,7 @@
 	}
 }
 
-// post hands a message to the control goroutine.
+// post sends a message to the control goroutine.
 func (r *Router) post(m message) {
 	select {
 	case r.messages <- m:
@@ -127,49 +129,49 @@
 	}
 }
 
-// inspect reads control state and waits until it is read.
-func (r *Router) inspect(read func(*control)) {
+// inspect calls read on the control goroutine and waits until it returns.
+func (r *Router) inspect(read func(*controller)) {
 	done := make(chan struct{})
-	r.post(inspect{read: read, done: done})
+	r.post(inspectState{read: read, done: done})
 	select {
 	case <-done:
 	case <-r.stopped:
 	}
 }
 
-// Ready reports whether the router may take callers: it has a bundle in force,
-// its voter votes on keys that are made now, the platform has listed it, and it
-// does not shut down. Without the list it could not tell who votes, and would
-// answer each booking "unknown". Once listed is enough: a list that loses VMs by
-// mistake must not empty the balancer.
+// Ready reports whether the router can serve callers: it has a bundle in force,
+// its voter votes on newly created keys, the platform has listed it, and it is not
+// draining. Without the list it can't determine the voters, and would report the
+// outcome of each non-repeatable request as "unknown". Having been listed once is
+// enough: a list that omits VMs by mistake must not empty the load balancer.
 func (r *Router) Ready() bool {
-	// Mint times are wall times, and so is what they are compared with.
+	// The creation times of keys are wall times, so compare wall times.
 	voting := !time.Now().Round(0).Before(r.cfg.Idempotency.VotesFrom(r.started).Round(0))
-	return voting && r.wasListed.Load() && r.view.Load() != nil && !r.leaving.Load()
+	return voting && r.wasListed.Load() && r.inForce.Load() != nil && !r.draining.Load()
 }
 
-// Draining reports whether the router shuts down.
-func (r *Router) Draining() bool { return r.leaving.Load() }
+// Draining reports whether a graceful shutdown has begun.
+func (r *Router) Draining() bool { return r.draining.Load() }
 
-// Bundle returns the bundle in force, nil before there is one.
+// Bundle returns the bundle in force, or nil if there is none yet.
 func (r *Router) Bundle() *bundle.Bundle {
-	if v := r.view.Load(); v != nil {
+	if v := r.inForce.Load(); v != nil {
 		return v.Bundle
 	}
 	return nil
 }
 
-// Team finds the team of a bearer key in the bundle in force.
+// Team returns the team that a bearer key belongs to in the bundle in force.
 func (r *Router) Team(key string) (bundle.Team, bool) {
-	v := r.view.Load()
+	v := r.inForce.Load()
 	if v == nil {
 		return bundle.Team{}, false
 	}
 	return v.Index.Team(key)
 }
 
-// Name is the VM's name.
+// Name returns the name of the VM.
 func (r *Router) Name() string { return r.cfg.Name }
 
-// Metrics are the process's counters.
+// Metrics returns the metrics of the process.
 func (r *Router) Metrics() *obs.Metrics { return r.metrics }
--- a/router/slot.go
+++ b/router/slot.go
@@ -8,18 +8,18 @@
 	"github.com/aspenswitch/aspenswitch/sched"
 )
 
-// waiter is where a request waits for its slot. The channel holds one grant, so
-// that the control goroutine never waits for a handler.
-type waiter struct{ grant chan grant }
+// waiter receives the decision on a waiting request. The channel has a buffer of
+// one, so that the control goroutine never blocks on a handler.
+type waiter struct{ decision chan decision }
 
-// grant is the core's word on a request.
-type grant struct {
-	upstream int
-	until    time.Time
-	refusal  *Refusal
+// decision is the scheduler's decision on a request: a slot or a refusal.
+type decision struct {
+	upstream    int
+	leaseExpiry time.Time
+	refusal     *Refusal
 }
 
-// Refusal is a request that was not run.
+// Refusal is the error for a request that was not run.
 type Refusal struct {
 	Reason     sched.Reason
 	RetryAfter time.Duration
@@ -28,51 +28,52 @@
 // Error implements error.
 func (r *Refusal) Error() string { return "not run: " + string(r.Reason) }
 
-// Slot is a slot of an upstream, given to one request. Exactly one of Finish
-// and Fail must be called.
+// Slot is a slot of an upstream that is granted to one request. Exactly one of
+// Release and Fail must be called.
 type Slot struct {
-	r        *Router
-	id       sched.RequestID
-	until    time.Time
-	Upstream bundle.Upstream
+	r           *Router
+	id          sched.RequestID
+	leaseExpiry time.Time
+	Upstream    bundle.Upstream
 }
 
-// Valid reports whether the slot's lease still runs. Check it right before
-// sending: the process may have been paused since the slot was given, and
+// Valid reports whether the slot's lease has not expired. Check it immediately
+// before sending: the process may have been paused since the slot was granted, and
 // another router may have it now.
-func (t *Slot) Valid() bool { return time.Now().Before(t.until) }
+func (s *Slot) Valid() bool { return time.Now().Before(s.leaseExpiry) }
 
-// Release gives the slot back after the request ended.
-func (t *Slot) Release() { t.r.post(finish{id: t.id}) }
+// Release releases the slot after the request ended.
+func (s *Slot) Release() { s.r.post(finishRequest{id: s.id}) }
 
-// Fail gives the slot back after the upstream did not serve the request; the
-// upstream gets no work from this router for a while.
-func (t *Slot) Fail(avoid time.Duration) { t.r.post(fail{id: t.id, avoid: avoid}) }
+// Fail releases the slot after the upstream failed to serve the request. This
+// router sends no requests to the upstream for the given duration.
+func (s *Slot) Fail(avoid time.Duration) { s.r.post(failRequest{id: s.id, avoid: avoid}) }
 
-// Acquire waits for a slot. The error is a *Refusal, or the context's.
+// Acquire waits for a slot. The error is a *Refusal or the cause of the context's
+// end.
 func (r *Router) Acquire(ctx context.Context, req sched.Request) (*Slot, error) {
 	req.ID = sched.RequestID(r.lastID.Add(1))
-	w := &waiter{grant: make(chan grant, 1)}
-	r.post(arrive{request: req, waiter: w})
+	w := &waiter{decision: make(chan decision, 1)}
+	r.post(acquireSlot{request: req, waiter: w})
 	select {
-	case g := <-w.grant:
-		return r.ticket(req, g)
+	case d := <-w.decision:
+		return r.newSlot(req, d)
 	case <-ctx.Done():
-		r.post(cancel{id: req.ID})
+		r.post(cancelRequest{id: req.ID})
 		return nil, context.Cause(ctx)
 	case <-r.stopped:
 		return nil, &Refusal{Reason: sched.ShuttingDown, RetryAfter: time.Second}
 	}
 }
 
-func (r *Router) ticket(req sched.Request, g grant) (*Slot, error) {
-	if g.refusal != nil {
-		return nil, g.refusal
+func (r *Router) newSlot(req sched.Request, d decision) (*Slot, error) {
+	if d.refusal != nil {
+		return nil, d.refusal
 	}
-	u, ok := r.view.Load().upstreams[g.upstream]
+	u, ok := r.inForce.Load().upstreams[d.upstream]
 	if !ok {
-		r.post(finish{id: req.ID})
+		r.post(finishRequest{id: req.ID})
 		return nil, &Refusal{Reason: sched.NoPool, RetryAfter: time.Second}
 	}
-	return &Slot{r: r, id: req.ID, until: g.until, Upstream: u}, nil
+	return &Slot{r: r, id: req.ID, leaseExpiry: d.leaseExpiry, Upstream: u}, nil
 }
--- a/router/tls.go
+++ b/router/tls.go
@@ -2,5 +2,6 @@
 
 import "crypto/tls"
 
-// PeerTLS is the TLS between routers; both nil for plain TCP.
+// PeerTLS holds the TLS configurations for connections between routers. Both are
+// nil for plain TCP.
 type PeerTLS struct{ Server, Client *tls.Config }
--- a/router/vmlist.go
+++ b/router/vmlist.go
@@ -10,16 +10,17 @@
 	"github.com/aspenswitch/aspenswitch/idempotency"
 )
 
-// vmList is the platform's list as claims use it.
+// vmList is the platform's list of VMs, from which the voters on keys are chosen.
 type vmList struct {
 	names []string
-	// digest names the list's content.
+	// digest is a hash of the names.
 	digest uint64
-	// changedAt and readAt are when it last changed and was last read.
+	// changedAt and readAt are the times of the last change and of the last read.
 	changedAt, readAt time.Time
 }
 
-// update returns the list after a read.
+// update returns the list that follows l after a read of the given names. l may be
+// nil.
 func (l *vmList) update(now time.Time, names []string) *vmList {
 	next := &vmList{names: names, readAt: now, changedAt: now}
 	next.digest = xxhash.Sum64String(strings.Join(names, "\x00"))
@@ -29,10 +30,11 @@
 	return next
 }
 
-// tolerance is by how many VMs other routers' lists may differ from this one.
-// Every router reads within lag of the platform's truth. A list that was read
-// lately and has not changed for twice the lag is therefore everybody's; else
-// somebody may still hold the one before, or already the one after.
+// tolerance returns the number of VMs by which other routers' lists may differ
+// from this one. Every router's list lags the platform by at most lag. All routers
+// therefore have the same list if it was read recently and has not changed for
+// twice the lag; otherwise a router may still have the previous list or already
+// have the next one.
 func (l *vmList) tolerance(now time.Time, lag time.Duration) int {
 	if now.Sub(l.readAt) <= lag/2 && now.Sub(l.changedAt) >= 2*lag {
 		return 0
--- a/router/watch.go
+++ b/router/watch.go
@@ -13,14 +13,14 @@
 	"github.com/aspenswitch/aspenswitch/sched"
 )
 
-// pollVMs reads the platform's list of VMs.
+// pollVMs polls the platform's list of VMs until the router stops.
 func (r *Router) pollVMs() {
 	for {
 		list, err := r.platform.VMs(r.ctx)
 		if err != nil {
-			r.log.Warn().Err(err).Msg("list of VMs not read")
+			r.log.Warn().Err(err).Msg("failed to read the list of VMs")
 		} else {
-			r.post(listed{list: list})
+			r.post(vmListUpdate{list: list})
 		}
 		if !r.sleep(r.cfg.VMPollInterval) {
 			return
@@ -28,8 +28,8 @@
 	}
 }
 
-// watchBundle keeps a waiting watch on the bundle, if this router is one of its
-// failure domain's watchers.
+// watchBundle long-polls the platform for the bundle while this router is one of
+// its failure domain's watchers.
 func (r *Router) watchBundle() {
 	etag := ""
 	for {
@@ -42,7 +42,7 @@
 		raw, newTag, err := r.platform.Bundle(r.ctx, etag, r.cfg.WatchTimeout)
 		switch {
 		case err != nil:
-			r.log.Warn().Err(err).Msg("bundle not read")
+			r.log.Warn().Err(err).Msg("failed to read the bundle")
 			if !r.sleep(r.cfg.VMPollInterval) {
 				return
 			}
@@ -67,19 +67,19 @@
 }
 
 // isWatcher reports whether this router is one of its failure domain's watchers:
-// those that rendezvous hashing ranks first among the live VMs of the domain.
-// The platform counts a waiting watch as a call, so not everybody may wait.
+// the VMs that rendezvous hashing ranks first among the domain's live VMs. The
+// platform counts each pending watch as a call, so only a few routers may watch.
 func (r *Router) isWatcher() bool {
 	watches := false
-	r.inspect(func(c *control) { watches = c.watches(time.Now()) })
+	r.inspect(func(c *controller) { watches = c.shouldWatch(time.Now()) })
 	r.watching.Store(watches)
 	return watches
 }
 
-func (c *control) watches(now time.Time) bool {
+func (c *controller) shouldWatch(now time.Time) bool {
 	live := c.node.Live(now)
 	var domain []string
-	for _, l := range c.list {
+	for _, l := range c.listedVMs {
 		if l.FailureDomain == c.r.cfg.FailureDomain && slices.Contains(live, l.Name) {
 			domain = append(domain, l.Name)
 		}
@@ -97,23 +97,23 @@
 	return false
 }
 
-// pollLoads reads the load reports of the upstreams that this router is home of.
+// pollLoads polls the load reports of the upstreams whose home is this router.
 func (r *Router) pollLoads() {
 	client := &http.Client{Timeout: time.Second}
 	for r.sleep(r.cfg.LoadPollInterval) {
 		var homes []sched.Upstream
-		r.inspect(func(c *control) { homes = c.node.HomedUpstreams() })
+		r.inspect(func(c *controller) { homes = c.node.HomedUpstreams() })
 		for _, u := range homes {
 			r.wg.Go(func() { r.pollLoad(client, u) })
 		}
 	}
 }
 
-// maxLoadReport bounds what is read of a load report.
-const maxLoadReport = 4 << 10
+// maxLoadReportBytes limits how much of a load report is read.
+const maxLoadReportBytes = 4 << 10
 
 func (r *Router) pollLoad(client *http.Client, u sched.Upstream) {
-	v := r.view.Load()
+	v := r.inForce.Load()
 	if v == nil || v.upstreams[u.ID].Kind != bundle.Engine {
 		return
 	}
@@ -123,13 +123,13 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	var l limits.Load
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxLoadReport)).Decode(&l); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxLoadReportBytes)).Decode(&l); err != nil {
 		return
 	}
-	r.post(loaded{pool: u.Pool, upstream: u.ID, load: l})
+	r.post(loadReport{pool: u.Pool, upstream: u.ID, load: l})
 }
 
-// sleep waits; it returns false when the router stops.
+// sleep waits for d. It returns false if the router stops first.
 func (r *Router) sleep(d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
