--- a/callers/auth.go
+++ b/callers/auth.go
@@ -9,26 +9,27 @@
 	"github.com/aspenswitch/aspenswitch/bundle"
 )
 
-const teamKey = "team"
+const teamContextKey = "team"
 
-// authenticate finds the team of the bearer key.
+// authenticate rejects requests without a valid bearer key and stores the key's
+// team in the request context.
 func (s *Server) authenticate(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		if s.router.Bundle() == nil {
-			return unavailable("not-ready", "no bundle is in force here yet", minRetry)
+			return unavailable("not-ready", "this router has no bundle in force yet", minRetryAfter)
 		}
 		key, ok := strings.CutPrefix(c.Request().Header.Get(echo.HeaderAuthorization), "Bearer ")
 		if !ok {
-			return badRequest(http.StatusUnauthorized, "invalid_api_key", "a bearer key is needed")
+			return invalidRequest(http.StatusUnauthorized, "invalid_api_key", "the Authorization header must contain a bearer key")
 		}
 		team, ok := s.router.Team(key)
 		if !ok {
-			return badRequest(http.StatusUnauthorized, "invalid_api_key", "no team has this key")
+			return invalidRequest(http.StatusUnauthorized, "invalid_api_key", "the bearer key belongs to no team")
 		}
-		c.Set(teamKey, team)
+		c.Set(teamContextKey, team)
 		recordOf(c).team = team.Name
 		return next(c)
 	}
 }
 
-func teamOf(c echo.Context) bundle.Team { return c.Get(teamKey).(bundle.Team) }
+func teamOf(c echo.Context) bundle.Team { return c.Get(teamContextKey).(bundle.Team) }
--- a/callers/completions.go
+++ b/callers/completions.go
@@ -14,86 +14,88 @@
 	"github.com/aspenswitch/aspenswitch/upstream"
 )
 
-// completion is what the router reads of a request to a model; the engine gets
-// the body as it came.
-type completion struct {
+// completionRequest holds the fields of a completion request that the router reads.
+// The engine receives the body unchanged.
+type completionRequest struct {
 	Model    string          `json:"model"`
 	Stream   bool            `json:"stream"`
 	Prompt   json.RawMessage `json:"prompt"`
 	Messages json.RawMessage `json:"messages"`
 }
 
-// prefixBytes is how much of a prompt names its start: long system prompts that
-// many requests share are what a prefix cache holds.
-const prefixBytes = 512
+// maxPrefixBytes is the length of the prompt prefix that is hashed: a prefix cache
+// mainly holds long system prompts that many requests share.
+const maxPrefixBytes = 512
 
-func (r completion) prefix() uint64 {
+func (r completionRequest) prefixHash() uint64 {
 	start := r.Messages
 	if len(start) == 0 {
 		start = r.Prompt
 	}
-	return xxhash.Sum64(start[:min(len(start), prefixBytes)])
+	return xxhash.Sum64(start[:min(len(start), maxPrefixBytes)])
 }
 
-// complete serves /v1/chat/completions and /v1/completions.
-func (s *Server) complete(c echo.Context) error {
+// handleCompletion serves /v1/chat/completions and /v1/completions.
+func (s *Server) handleCompletion(c echo.Context) error {
 	b, team := s.router.Bundle(), teamOf(c)
-	j, cancel, err := s.newJob(c)
+	p, cancel, err := s.newProxyRequest(c)
 	if err != nil {
 		return err
 	}
 	defer cancel()
-	body, err := readCompletion(j.body)
+	body, err := parseCompletion(p.body)
 	if err != nil {
 		return err
 	}
 	pool, ok := b.PoolOfModel(body.Model)
 	if !ok || !team.May(pool) {
-		return badRequest(http.StatusNotFound, "model_not_found", fmt.Sprintf(
-			"there is no model %q for this team; there are: %s", body.Model, strings.Join(b.Models(team), ", ")))
+		return invalidRequest(http.StatusNotFound, "model_not_found", fmt.Sprintf(
+			"model %q is not available to this team; available models: %s", body.Model, strings.Join(b.Models(team), ", ")))
 	}
-	j.request.Pool = pool.ID
-	j.request.PrefixHash = body.prefix()
-	j.repeatable = true
-	j.path = c.Request().URL.Path
+	p.slotRequest.Pool = pool.ID
+	p.slotRequest.PrefixHash = body.prefixHash()
+	p.repeatable = true
+	p.path = c.Request().URL.Path
 	if body.Stream {
-		return j.serve(j.stream)
+		return p.serve(p.relayStream)
 	}
-	return j.serve(j.whole)
+	return p.serve(p.relayBuffered)
 }
 
-func readCompletion(raw []byte) (completion, error) {
-	var body completion
+func parseCompletion(raw []byte) (completionRequest, error) {
+	var body completionRequest
 	if err := json.Unmarshal(raw, &body); err != nil {
-		return body, badRequest(http.StatusBadRequest, "invalid_json", "the body is not the JSON of a completion: "+err.Error())
+		return body, invalidRequest(http.StatusBadRequest, "invalid_json", "the body is not a valid JSON completion request: "+err.Error())
 	}
 	if body.Model == "" {
-		return body, badRequest(http.StatusBadRequest, "missing_model", "the body names no model")
+		return body, invalidRequest(http.StatusBadRequest, "missing_model", "the body has no model")
 	}
 	return body, nil
 }
 
-// whole passes an answer on that comes in one piece. It is read whole first: a
-// part can't be taken back if the rest is lost.
-func (j *job) whole(t *router.Slot, resp *http.Response) error {
+// relayBuffered relays a response that is not streamed. It reads the whole body
+// first, since a part that was sent to the caller can't be withdrawn if the rest is
+// lost.
+func (p *proxyRequest) relayBuffered(slot *router.Slot, resp *http.Response) error {
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return &upstream.Failure{Sent: true, Cause: err}
 	}
-	if busy(resp.StatusCode) {
-		return &upstream.Failure{Sent: true, Cause: fmt.Errorf("engine answered %s", resp.Status)}
+	if isRejection(resp.StatusCode) {
+		return &upstream.Failure{Sent: true, Cause: fmt.Errorf("engine responded with %s", resp.Status)}
 	}
-	h := j.c.Response().Header()
-	copyHeader(h, resp.Header)
-	h.Set(HeaderOutcome, string(j.rec.outcome))
-	j.c.Response().WriteHeader(resp.StatusCode)
-	_, _ = j.c.Response().Write(body)
+	h := p.c.Response().Header()
+	copyResponseHeader(h, resp.Header)
+	h.Set(HeaderOutcome, string(p.rec.outcome))
+	p.c.Response().WriteHeader(resp.StatusCode)
+	_, _ = p.c.Response().Write(body)
 	return nil
 }
 
-// busy answers say that an engine did not take the request now.
-func busy(status int) bool {
+// isRejection reports whether a status means that the engine did not accept the
+// request at this time.
+func isRejection(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests ||
 		status == http.StatusBadGateway
 }
--- a/callers/doc.go
+++ b/callers/doc.go
@@ -1,3 +1,3 @@
-// Package callers serves the teams' requests over HTTP: the OpenAI-compatible
-// API for models, and plain services under /services/.
+// Package callers implements the HTTP API for the teams' requests: the
+// OpenAI-compatible API for models, and plain services under /services/.
 package callers
--- a/callers/errors.go
+++ b/callers/errors.go
@@ -15,8 +15,8 @@
 	"github.com/aspenswitch/aspenswitch/sched"
 )
 
-// apiError is an answer of this API's own, in the shape that clients of the
-// OpenAI API read.
+// apiError is an error response of this API, in the format that clients of the
+// OpenAI API expect.
 type apiError struct {
 	status     int
 	outcome    retry.Outcome
@@ -28,7 +28,7 @@
 // Error implements error.
 func (e *apiError) Error() string { return e.code + ": " + e.message }
 
-// errorBody is the body of an error answer.
+// errorBody is the body of an error response.
 type errorBody struct {
 	Error   errorDetail   `json:"error"`
 	Outcome retry.Outcome `json:"outcome"`
@@ -48,29 +48,32 @@
 	return errorBody{Error: errorDetail{Message: e.message, Type: kind, Code: e.code}, Outcome: e.outcome}
 }
 
-// badRequest is a request that can't run; nothing was sent.
-func badRequest(status int, code, message string) *apiError {
+// invalidRequest returns the error for a request that can't run and was not sent.
+func invalidRequest(status int, code, message string) *apiError {
 	return &apiError{status: status, outcome: retry.NotRun, code: code, message: message}
 }
 
-// lost is a request whose answer will not come.
-func lost(message string) *apiError {
+// outcomeUnknown returns the error for a request that may have run but whose
+// response is not available.
+func outcomeUnknown(message string) *apiError {
 	return &apiError{
 		status: http.StatusBadGateway, outcome: retry.Unknown,
 		code: "outcome_unknown", message: message, retryAfter: time.Second,
 	}
 }
 
-// unavailable is a request that was not sent, though it may be later.
-func unavailable(code, message string, after time.Duration) *apiError {
+// unavailable returns the error for a request that was not sent but may succeed
+// later.
+func unavailable(code, message string, retryAfter time.Duration) *apiError {
 	return &apiError{
 		status: http.StatusServiceUnavailable, outcome: retry.NotRun,
-		code: code, message: message, retryAfter: after,
+		code: code, message: message, retryAfter: retryAfter,
 	}
 }
 
-// refused turns the scheduler's refusal into an answer.
-func refused(err error) *apiError {
+// refusalError converts an error of Router.Acquire, or of the request's context, into
+// an error response.
+func refusalError(err error) *apiError {
 	var r *router.Refusal
 	if errors.As(err, &r) {
 		e := unavailable(string(r.Reason), "the request was not run: "+string(r.Reason), r.RetryAfter)
@@ -82,14 +85,14 @@
 	if errors.Is(err, context.DeadlineExceeded) {
 		return unavailable(string(sched.DeadlinePassed), "the request was not run before its deadline", time.Second)
 	}
-	return unavailable("cancelled", "the caller left before the request ran", time.Second)
+	return unavailable("cancelled", "the caller disconnected before the request ran", time.Second)
 }
 
-// handleError writes an error answer.
+// handleError writes an error response, unless a response has already begun.
 func (s *Server) handleError(err error, c echo.Context) {
 	var e *apiError
 	if !errors.As(err, &e) {
-		e = fromEcho(err)
+		e = echoError(err)
 	}
 	recordOf(c).outcome = e.outcome
 	if c.Response().Committed {
@@ -103,10 +106,10 @@
 	_ = c.JSON(e.status, e.body())
 }
 
-func fromEcho(err error) *apiError {
+func echoError(err error) *apiError {
 	var h *echo.HTTPError
 	if errors.As(err, &h) {
-		return badRequest(h.Code, "http_error", http.StatusText(h.Code))
+		return invalidRequest(h.Code, "http_error", http.StatusText(h.Code))
 	}
 	return &apiError{status: http.StatusInternalServerError, outcome: retry.Unknown, code: "internal", message: err.Error()}
 }
--- a/callers/headers.go
+++ b/callers/headers.go
@@ -6,9 +6,9 @@
 	"github.com/aspenswitch/aspenswitch/headers"
 )
 
-// forwardHeader is what an upstream gets of a caller's header. The bearer key
-// stays here: upstreams must not see the teams' keys.
-func forwardHeader(in http.Header) http.Header {
+// upstreamHeader returns the part of a caller's header that is sent to an upstream.
+// It omits the bearer key, because upstreams must not see the teams' keys.
+func upstreamHeader(in http.Header) http.Header {
 	out := in.Clone()
 	headers.RemoveHopByHop(out)
 	out.Del("Authorization")
@@ -17,12 +17,12 @@
 	return out
 }
 
-// copyHeader passes an upstream's header on to the caller. The request id stays
-// the router's.
-func copyHeader(to, from http.Header) {
+// copyResponseHeader copies an upstream's response header to the caller's. The
+// request ID remains the router's.
+func copyResponseHeader(to, from http.Header) {
 	clean := from.Clone()
 	headers.RemoveHopByHop(clean)
-	clean.Del(headerRequest)
+	clean.Del(headerRequestID)
 	clean.Del("Content-Length")
 	for name, values := range clean {
 		to[name] = values
--- a/callers/models.go
+++ b/callers/models.go
@@ -6,7 +6,7 @@
 	"github.com/labstack/echo/v4"
 )
 
-// modelList is the answer of GET /v1/models.
+// modelList is the response to GET /v1/models.
 type modelList struct {
 	Object string  `json:"object"`
 	Data   []model `json:"data"`
@@ -19,8 +19,8 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// models lists what the team may use.
-func (s *Server) models(c echo.Context) error {
+// handleModels lists the models that the team may use.
+func (s *Server) handleModels(c echo.Context) error {
 	list := modelList{Object: "list", Data: []model{}}
 	for _, id := range s.router.Bundle().Models(teamOf(c)) {
 		list.Data = append(list.Data, model{ID: id, Object: "model", OwnedBy: "aspenswitch"})
--- a/callers/record.go
+++ b/callers/record.go
@@ -8,20 +8,20 @@
 	"github.com/aspenswitch/aspenswitch/retry"
 )
 
-const recordKey = "record"
+const recordContextKey = "record"
 
-// record is what the log line of a request tells.
-type record struct {
+// requestRecord holds what is logged about a request.
+type requestRecord struct {
 	id       string
 	team     string
 	upstream string
 	attempts int
 	outcome  retry.Outcome
 	started  time.Time
-	wait     time.Duration
-	// ended is set when an answer that is not whole was ended with an error
-	// event; without it the connection is cut, so that the caller can tell.
-	ended bool
+	slotWait time.Duration
+	// errorEventSent is set if an incomplete response was ended with an error event.
+	// Otherwise the connection is aborted, so that the caller can detect it.
+	errorEventSent bool
 }
 
-func recordOf(c echo.Context) *record { return c.Get(recordKey).(*record) }
+func recordOf(c echo.Context) *requestRecord { return c.Get(recordContextKey).(*requestRecord) }
--- a/callers/service.go
+++ b/callers/service.go
@@ -19,79 +19,82 @@
 )
 
 const (
-	maxKeyLen = 256
-	// onceTimeout bounds a run whose caller may have left.
-	onceTimeout = 2 * time.Minute
+	maxIdempotencyKeyLen = 256
+	// nonRepeatableTimeout limits a run, which continues if its caller disconnects.
+	nonRepeatableTimeout = 2 * time.Minute
 )
 
-// service serves /services/{name}/...: the path below goes to the service as it is.
-func (s *Server) service(c echo.Context) error {
+// handleService serves /services/{name}/...: the rest of the path is sent to the
+// service unchanged.
+func (s *Server) handleService(c echo.Context) error {
 	pool, ok := s.router.Bundle().PoolOfService(c.Param("service"))
 	if !ok || !teamOf(c).May(pool) {
-		return badRequest(http.StatusNotFound, "service_not_found", fmt.Sprintf("there is no service %q for this team", c.Param("service")))
+		return invalidRequest(http.StatusNotFound, "service_not_found", fmt.Sprintf("service %q is not available to this team", c.Param("service")))
 	}
-	j, cancel, err := s.newJob(c)
+	p, cancel, err := s.newProxyRequest(c)
 	if err != nil {
 		return err
 	}
 	defer cancel()
 	url := c.Request().URL
-	below := "/" + strings.TrimPrefix(strings.TrimPrefix(url.EscapedPath(), "/services/"+c.Param("service")), "/")
-	j.path = below
+	subpath := "/" + strings.TrimPrefix(strings.TrimPrefix(url.EscapedPath(), "/services/"+c.Param("service")), "/")
+	p.path = subpath
 	if url.RawQuery != "" {
-		j.path += "?" + url.RawQuery
+		p.path += "?" + url.RawQuery
 	}
-	j.request.Pool = pool.ID
-	j.repeatable = pool.Repeatable(j.method, below)
-	if j.repeatable {
-		return j.serve(j.pass)
+	p.slotRequest.Pool = pool.ID
+	p.repeatable = pool.Repeatable(p.method, subpath)
+	if p.repeatable {
+		return p.serve(p.relayResponse)
 	}
-	return j.serveOnce()
+	return p.serveAtMostOnce()
 }
 
-// serveOnce serves a request that may run at most once, by its key.
-func (j *job) serveOnce() error {
-	key := j.c.Request().Header.Get(headerKey)
-	if key == "" || len(key) > maxKeyLen {
-		return badRequest(http.StatusBadRequest, "missing_idempotency_key",
-			"a request that must not be repeated needs an "+headerKey+" header")
+// serveAtMostOnce serves a non-repeatable request, which may run at most once. The
+// request is identified by its idempotency key.
+func (p *proxyRequest) serveAtMostOnce() error {
+	key := p.c.Request().Header.Get(headerIdempotencyKey)
+	if key == "" || len(key) > maxIdempotencyKeyLen {
+		return invalidRequest(http.StatusBadRequest, "missing_idempotency_key",
+			"a request that must not be repeated needs an "+headerIdempotencyKey+" header")
 	}
-	// Teams can't see or block one another's keys.
-	claimed := j.s.router.Claim(j.ctx, fmt.Sprintf("%d/%s", j.request.Team, key))
-	switch claimed.Result {
+	// The team ID keeps teams from seeing or blocking one another's keys.
+	result := p.server.router.Claim(p.ctx, fmt.Sprintf("%d/%s", p.slotRequest.Team, key))
+	switch result.Result {
 	case idempotency.Won:
-		j.run = claimed.Claim
-		ctx, cancel := context.WithTimeout(context.WithoutCancel(j.ctx), onceTimeout)
+		p.claim = result.KeyClaim
+		ctx, cancel := context.WithTimeout(context.WithoutCancel(p.ctx), nonRepeatableTimeout)
 		defer cancel()
-		j.sendCtx = ctx
-		return j.serve(j.pass)
+		p.sendCtx = ctx
+		return p.serve(p.relayResponse)
 	case idempotency.NotRun:
-		return unavailable("no_quorum", "the key did not run, and can't be claimed now", minRetry)
+		return unavailable("no_quorum", "the request did not run: its idempotency key can't be claimed now", minRetryAfter)
 	case idempotency.Taken:
-		return j.replay(claimed.Record)
+		return p.replay(result.Record)
 	}
-	return lost("the key may have run before; repeat it later with the same key")
+	return outcomeUnknown("the request may have run before; repeat it later with the same idempotency key")
 }
 
-// replay answers a repeat with the first run's answer.
-func (j *job) replay(r idempotency.Record) error {
+// replay sends the stored response of the first run to a repeat.
+func (p *proxyRequest) replay(r idempotency.Record) error {
 	if r.State != idempotency.Done {
-		return lost("the key was run before and its answer is not known")
+		return outcomeUnknown("this idempotency key was used before, and the response is not available")
 	}
-	h := j.c.Response().Header()
-	copyHeader(h, r.Response.Header)
+	h := p.c.Response().Header()
+	copyResponseHeader(h, r.StoredResponse.Header)
 	h.Set(HeaderReplayed, "true")
 	h.Set(HeaderOutcome, string(retry.Ran))
-	j.c.Response().WriteHeader(r.Response.Status)
-	_, _ = j.c.Response().Write(r.Response.Body)
+	p.c.Response().WriteHeader(r.StoredResponse.Status)
+	_, _ = p.c.Response().Write(r.StoredResponse.Body)
 	return nil
 }
 
-// pass streams a service's answer to the caller.
-func (j *job) pass(_ *router.Slot, resp *http.Response) error {
+// relayResponse streams a service's response to the caller and stores it if the
+// request has a claim.
+func (p *proxyRequest) relayResponse(_ *router.Slot, resp *http.Response) error {
 	defer func() { _ = resp.Body.Close() }()
-	out := j.c.Response()
-	copyHeader(out.Header(), resp.Header)
+	out := p.c.Response()
+	copyResponseHeader(out.Header(), resp.Header)
 	out.Header().Set(HeaderOutcome, string(retry.Ran))
 	if resp.ContentLength >= 0 {
 		out.Header().Set(echo.HeaderContentLength, strconv.FormatInt(resp.ContentLength, 10))
@@ -99,35 +102,35 @@
 	for name := range resp.Trailer {
 		out.Header().Add("Trailer", name)
 	}
-	kept := &bytes.Buffer{}
-	first := make([]byte, 32<<10)
-	n, err := io.ReadAtLeast(resp.Body, first, 1)
+	stored := &bytes.Buffer{}
+	firstChunk := make([]byte, 32<<10)
+	n, err := io.ReadAtLeast(resp.Body, firstChunk, 1)
 	if err != nil && err != io.EOF {
 		return &upstream.Failure{Sent: true, Cause: err}
 	}
 	out.WriteHeader(resp.StatusCode)
-	if err := j.copyBody(kept, first[:n], resp.Body); err != nil {
+	if err := p.copyBody(stored, firstChunk[:n], resp.Body); err != nil {
 		return err
 	}
 	for name, values := range resp.Trailer {
 		out.Header()[name] = values
 	}
-	j.keep(resp, kept)
+	p.storeResponse(resp, stored)
 	return nil
 }
 
-func (j *job) copyBody(kept *bytes.Buffer, first []byte, rest io.Reader) error {
-	out := j.c.Response()
-	in := io.MultiReader(bytes.NewReader(first), rest)
+func (p *proxyRequest) copyBody(stored *bytes.Buffer, firstChunk []byte, rest io.Reader) error {
+	out := p.c.Response()
+	in := io.MultiReader(bytes.NewReader(firstChunk), rest)
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := in.Read(buf)
 		if n > 0 {
-			if kept.Len() <= idempotency.MaxResponseBytes {
-				kept.Write(buf[:n])
+			if stored.Len() <= idempotency.MaxResponseBytes {
+				stored.Write(buf[:n])
 			}
-			if _, err := out.Write(buf[:n]); err != nil && j.run == nil {
-				return errCallerLeft
+			if _, err := out.Write(buf[:n]); err != nil && p.claim == nil {
+				return errCallerDisconnected
 			}
 			out.Flush()
 		}
@@ -140,15 +143,15 @@
 	}
 }
 
-// keep remembers the answer for repeats of the key.
-func (j *job) keep(resp *http.Response, body *bytes.Buffer) {
+// storeResponse completes the claim with the response, for repeats of the key.
+func (p *proxyRequest) storeResponse(resp *http.Response, body *bytes.Buffer) {
 	header := resp.Header.Clone()
-	j.settle(&idempotency.Response{Status: resp.StatusCode, Header: header, Body: body.Bytes()})
+	p.completeClaim(&idempotency.StoredResponse{Status: resp.StatusCode, Header: header, Body: body.Bytes()})
 }
 
-func (j *job) settle(answer *idempotency.Response) {
-	if j.run != nil {
-		j.run.Complete(answer)
-		j.run = nil
+func (p *proxyRequest) completeClaim(response *idempotency.StoredResponse) {
+	if p.claim != nil {
+		p.claim.Complete(response)
+		p.claim = nil
 	}
 }
--- a/callers/stream.go
+++ b/callers/stream.go
@@ -17,35 +17,36 @@
 	"github.com/aspenswitch/aspenswitch/upstream"
 )
 
-// headerStream names a resumable stream at its engine.
-const headerStream = "Stream-Id"
+// headerStreamID is the header in which an engine sends the ID of a resumable
+// stream.
+const headerStreamID = "Stream-Id"
 
-// resumeTries is how often a broken stream is resumed in all; cancelTimeout
-// bounds the engine's answer to a cancellation.
+// maxResumes is the total number of times that a broken stream is resumed;
+// cancelTimeout limits the wait for the engine's response to a cancellation.
 const (
-	resumeTries   = 3
+	maxResumes    = 3
 	cancelTimeout = 2 * time.Second
 )
 
-// errCut ends a stream whose last event never came.
-var errCut = errors.New("callers: the engine's stream ended early")
+// errStreamTruncated is returned if a stream ends before its last event.
+var errStreamTruncated = errors.New("callers: the engine's stream ended early")
 
-// event is one server-sent event with its id.
+// event is one server-sent event with its ID.
 type event struct {
 	id   []byte
 	raw  []byte
 	last bool
 }
 
-// readEvent reads up to the blank line that ends an event.
+// readEvent reads an event, up to and including the blank line that ends it.
 func readEvent(r *bufio.Reader) (event, error) {
 	var e event
 	for {
 		line, err := r.ReadBytes('\n')
 		if err != nil {
-			// A part of an event is worthless: the resume sends it whole.
+			// Discard the partial event: the resumed stream sends it in full.
 			if err == io.EOF {
-				err = errCut
+				err = errStreamTruncated
 			}
 			return event{}, err
 		}
@@ -63,40 +64,40 @@
 	}
 }
 
-// relay is a stream on its way from an engine to a caller.
-type relay struct {
-	j      *job
-	ticket *router.Slot
-	id     string
-	after  string
-	tries  int
+// streamRelay relays a stream from an engine to a caller.
+type streamRelay struct {
+	request     *proxyRequest
+	slot        *router.Slot
+	streamID    string
+	lastEventID string
+	resumes     int
 }
 
-// stream passes a stream on event by event. A broken one is resumed where the
-// caller's answer stands, so that no token comes twice or is missing.
-func (j *job) stream(t *router.Slot, resp *http.Response) error {
+// relayStream relays a stream event by event. It resumes a broken stream after the
+// last event that was sent to the caller, so that no token is repeated or missing.
+func (p *proxyRequest) relayStream(slot *router.Slot, resp *http.Response) error {
 	if resp.StatusCode != http.StatusOK {
-		return j.whole(t, resp)
+		return p.relayBuffered(slot, resp)
 	}
-	s := &relay{j: j, ticket: t, id: resp.Header.Get(headerStream)}
-	err := s.copy(resp)
-	for err != nil && s.mayResume(err) {
+	s := &streamRelay{request: p, slot: slot, streamID: resp.Header.Get(headerStreamID)}
+	err := s.relayEvents(resp)
+	for err != nil && s.canResume(err) {
 		if resp, err = s.resume(); err == nil {
-			err = s.copy(resp)
+			err = s.relayEvents(resp)
 		}
 	}
 	if err == nil {
 		return nil
 	}
 	s.cancelUpstream()
-	if !j.c.Response().Committed {
+	if !p.c.Response().Committed {
 		return &upstream.Failure{Sent: true, Cause: err}
 	}
 	return s.endWithError(err)
 }
 
-// copy passes events on until the last one.
-func (s *relay) copy(resp *http.Response) error {
+// relayEvents relays events up to and including the last one.
+func (s *streamRelay) relayEvents(resp *http.Response) error {
 	defer func() { _ = resp.Body.Close() }()
 	in := bufio.NewReader(resp.Body)
 	for {
@@ -104,14 +105,14 @@
 		if err != nil {
 			return err
 		}
-		s.begin(resp)
-		out := s.j.c.Response()
+		s.writeHeader(resp)
+		out := s.request.c.Response()
 		if _, err := out.Write(e.raw); err != nil {
-			return errCallerLeft
+			return errCallerDisconnected
 		}
 		out.Flush()
 		if e.id != nil {
-			s.after = string(e.id)
+			s.lastEventID = string(e.id)
 		}
 		if e.last {
 			return nil
@@ -119,77 +120,77 @@
 	}
 }
 
-// begin writes the head before the first event.
-func (s *relay) begin(resp *http.Response) {
-	out := s.j.c.Response()
+// writeHeader writes the response header before the first event.
+func (s *streamRelay) writeHeader(resp *http.Response) {
+	out := s.request.c.Response()
 	if out.Committed {
 		return
 	}
-	copyHeader(out.Header(), resp.Header)
-	out.Header().Del(headerStream)
+	copyResponseHeader(out.Header(), resp.Header)
+	out.Header().Del(headerStreamID)
 	out.Header().Set(HeaderOutcome, string(retry.Ran))
 	out.WriteHeader(http.StatusOK)
 }
 
-func (s *relay) mayResume(err error) bool {
-	return s.j.ctx.Err() == nil && !errors.Is(err, errCallerLeft) && s.ticket.Upstream.Resumable && s.id != "" && s.tries < resumeTries
+func (s *streamRelay) canResume(err error) bool {
+	return s.request.ctx.Err() == nil && !errors.Is(err, errCallerDisconnected) && s.slot.Upstream.Resumable && s.streamID != "" && s.resumes < maxResumes
 }
 
-// resume asks the engine for what follows the last event that the caller got.
-func (s *relay) resume() (*http.Response, error) {
-	s.tries++
-	q := url.Values{"after": {s.after}}
-	req, err := http.NewRequestWithContext(s.j.ctx, http.MethodGet, s.address()+"?"+q.Encode(), nil)
+// resume requests the events after the last one that was sent to the caller.
+func (s *streamRelay) resume() (*http.Response, error) {
+	s.resumes++
+	q := url.Values{"after": {s.lastEventID}}
+	req, err := http.NewRequestWithContext(s.request.ctx, http.MethodGet, s.address()+"?"+q.Encode(), nil)
 	if err != nil {
 		return nil, err
 	}
-	s.j.s.router.Metrics().Scope.Counter("streams_resumed").Inc(1)
-	resp, err := s.j.s.router.Upstreams.Do(req, true)
+	s.request.server.router.Metrics().Scope.Counter("streams_resumed").Inc(1)
+	resp, err := s.request.server.router.Upstreams.Do(req, true)
 	if err != nil {
 		return nil, err
 	}
 	if resp.StatusCode != http.StatusOK {
 		_ = resp.Body.Close()
-		return nil, fmt.Errorf("callers: resume answered %s", resp.Status)
+		return nil, fmt.Errorf("callers: engine responded to the resume request with %s", resp.Status)
 	}
 	return resp, nil
 }
 
-func (s *relay) address() string {
-	return "http://" + s.ticket.Upstream.Address + "/v1/streams/" + url.PathEscape(s.id)
+func (s *streamRelay) address() string {
+	return "http://" + s.slot.Upstream.Address + "/v1/streams/" + url.PathEscape(s.streamID)
 }
 
-// cancelUpstream ends the generation of a stream that nobody reads any more: a
-// resumable engine goes on after its connection breaks.
-func (s *relay) cancelUpstream() {
-	if s.id == "" {
+// cancelUpstream cancels the generation of a stream that is no longer read, since a
+// resumable engine continues after its connection breaks.
+func (s *streamRelay) cancelUpstream() {
+	if s.streamID == "" {
 		return
 	}
-	ctx, done := context.WithTimeout(context.WithoutCancel(s.j.ctx), cancelTimeout)
-	defer done()
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(s.request.ctx), cancelTimeout)
+	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodDelete, s.address(), nil)
 	if err != nil {
 		return
 	}
-	if resp, err := s.j.s.router.Upstreams.Do(req, true); err == nil {
+	if resp, err := s.request.server.router.Upstreams.Do(req, true); err == nil {
 		_ = resp.Body.Close()
 	}
 }
 
-// endWithError ends an answer that can't be completed with an error event, never
-// silently short.
-func (s *relay) endWithError(cause error) error {
-	if s.j.c.Request().Context().Err() != nil {
-		return lost("the caller left")
+// endWithError ends a response that can't be completed with an error event, so that
+// it is not silently truncated.
+func (s *streamRelay) endWithError(cause error) error {
+	if s.request.c.Request().Context().Err() != nil {
+		return outcomeUnknown("the caller disconnected")
 	}
-	e := lost("the engine's stream was lost: " + cause.Error())
+	e := outcomeUnknown("the engine's stream was lost: " + cause.Error())
 	data, err := json.Marshal(e.body())
 	if err != nil {
 		return err
 	}
-	out := s.j.c.Response()
+	out := s.request.c.Response()
 	_, _ = fmt.Fprintf(out, "event: error\ndata: %s\n\n", data)
 	out.Flush()
-	s.j.rec.ended = true
+	s.request.rec.errorEventSent = true
 	return e
 }
--- a/idempotency/claim.go
+++ b/idempotency/claim.go
@@ -88,10 +88,10 @@
 // OtherOwner returns another owner that holds a vote, if there is one.
 func (c *Claim) OtherOwner() (Owner, bool) { return c.otherOwner, c.taken }
 
-// Valid reports whether a won claim may still be used. Check it immediately
+// Usable reports whether a won claim may still be used. Check it immediately
 // before sending: a process that was paused after winning its claim may resume
 // when the voters' records have expired and another router has run the key.
-func (c *Claim) Valid(now time.Time) bool {
+func (c *Claim) Usable(now time.Time) bool {
 	// The monotonic clock may stop while the VM is suspended; the wall clock
 	// includes that time once it is synchronized again.
 	age := max(now.Sub(c.wonAt), now.Round(0).Sub(c.wonAt.Round(0)))
--- a/idempotency/idempotency_test.go
+++ b/idempotency/idempotency_test.go
@@ -72,11 +72,11 @@
 	now := time.Unix(1_700_000_000, 0)
 	c := idempotency.NewClaim(cfg, 3, 0)
 	c.Add(now, idempotency.Vote{Granted: true})
-	g.Expect(c.Valid(now)).To(BeFalse())
+	g.Expect(c.Usable(now)).To(BeFalse())
 	c.Add(now, idempotency.Vote{Granted: true})
 	g.Expect(c.Result()).To(Equal(idempotency.Won))
-	g.Expect(c.Valid(now.Add(cfg.ClaimTTL))).To(BeTrue())
-	g.Expect(c.Valid(now.Add(cfg.ClaimTTL + time.Second))).To(BeFalse())
+	g.Expect(c.Usable(now.Add(cfg.ClaimTTL))).To(BeTrue())
+	g.Expect(c.Usable(now.Add(cfg.ClaimTTL + time.Second))).To(BeFalse())
 	g.Expect(2 * cfg.ClaimTTL).To(BeNumerically("<", cfg.Retention))
 }
 
--- a/idempotency/records.go
+++ b/idempotency/records.go
@@ -9,8 +9,8 @@
 // repeated requests.
 const MaxResponseBytes = 64 << 10
 
-// Response is the upstream's response to the first run of a key.
-type Response struct {
+// StoredResponse is the upstream's response to the first run of a key.
+type StoredResponse struct {
 	Status int         `json:"status"`
 	Header http.Header `json:"header"`
 	Body   []byte      `json:"body"`
@@ -34,8 +34,8 @@
 
 // Record is the owner's record of a key.
 type Record struct {
-	State    State     `json:"state"`
-	Response *Response `json:"answer,omitempty"`
+	State          State           `json:"state"`
+	StoredResponse *StoredResponse `json:"answer,omitempty"`
 }
 
 // entry is a record with its start time and a channel that is closed when the run
@@ -66,14 +66,14 @@
 
 // Complete records the response of a running key. A nil response means that it
 // was lost.
-func (s *RecordStore) Complete(key string, response *Response) {
+func (s *RecordStore) Complete(key string, response *StoredResponse) {
 	e, ok := s.entries[key]
 	if !ok || e.State != Running {
 		return
 	}
 	e.Record = Record{State: Lost}
 	if response != nil && len(response.Body) <= MaxResponseBytes {
-		e.Record = Record{State: Done, Response: response}
+		e.Record = Record{State: Done, StoredResponse: response}
 	}
 	close(e.done)
 }
--- a/router/claim.go
+++ b/router/claim.go
@@ -14,8 +14,8 @@
 // ClaimResult is the result of claiming a key.
 type ClaimResult struct {
 	Result idempotency.Result
-	// Claim is set if Result is Won.
-	Claim *KeyClaim
+	// KeyClaim is set if Result is Won.
+	KeyClaim *KeyClaim
 	// Record is the record of the first run if another attempt owns the key.
 	Record idempotency.Record
 }
@@ -34,9 +34,9 @@
 	tolerance int
 }
 
-// Valid reports whether the claim may still be used. Check it immediately before
+// Usable reports whether the claim may still be used. Check it immediately before
 // sending.
-func (k *KeyClaim) Valid() bool { return k.votes.Valid(time.Now()) }
+func (k *KeyClaim) Usable() bool { return k.votes.Usable(time.Now()) }
 
 // Abandon releases the claim. The request must not have been sent and must not be
 // sent later.
@@ -47,7 +47,7 @@
 
 // Complete stores the response for repeats of the key. A nil response means that
 // it was lost.
-func (k *KeyClaim) Complete(response *idempotency.Response) {
+func (k *KeyClaim) Complete(response *idempotency.StoredResponse) {
 	k.r.post(completeRun{key: k.key, response: response})
 }
 
@@ -95,7 +95,7 @@
 	result := claim.votes.Result()
 	if result == idempotency.Won {
 		r.post(beginRun{key: key})
-		return ClaimResult{Result: result, Claim: claim}
+		return ClaimResult{Result: result, KeyClaim: claim}
 	}
 	r.releaseVotes(key, claim.owner, claim.voters)
 	if other, taken := claim.votes.OtherOwner(); taken && result == idempotency.Taken {
--- a/router/message.go
+++ b/router/message.go
@@ -78,7 +78,7 @@
 	beginRun    struct{ key string }
 	completeRun struct {
 		key      string
-		response *idempotency.Response
+		response *idempotency.StoredResponse
 	}
 	abandonRun struct{ key string }
 )
--- a/router/ready_test.go
+++ b/router/ready_test.go
@@ -115,7 +115,7 @@
 	f.awaitReady(g)
 	claimed := f.router.Claim(context.Background(), freshKey())
 	g.Expect(claimed.Result).To(Equal(idempotency.Won))
-	claimed.Claim.Abandon()
+	claimed.KeyClaim.Abandon()
 }
 
 // Guards against readiness of a router that the platform doesn't list yet, although
@@ -132,5 +132,5 @@
 	f.awaitReady(g)
 	claimed := f.router.Claim(context.Background(), freshKey())
 	g.Expect(claimed.Result).To(Equal(idempotency.Won))
-	claimed.Claim.Abandon()
+	claimed.KeyClaim.Abandon()
 }
