--- a/bundle/acceptor.go
+++ b/bundle/acceptor.go
@@ -5,157 +5,162 @@
 	"slices"
 )
 
-// VersionID names one content of one version.
+// VersionID identifies one content of one bundle version.
 type VersionID struct {
 	Version uint64 `json:"version"`
 	Digest  string `json:"digest"`
 }
 
-// Later reports whether m is of a later version than o.
-func (m VersionID) Later(o VersionID) bool { return m.Version > o.Version }
+// Later reports whether v has a higher version number than other. Digests are
+// not compared.
+func (v VersionID) Later(other VersionID) bool { return v.Version > other.Version }
 
-// OfferResult is what an Acceptor made of an offer.
+// OfferResult is the outcome of Acceptor.Offer.
 type OfferResult int
 
-// Verdicts on an offered bundle.
+// Results of an offer.
 const (
-	// Accepted: this router now holds the offer as its latest version.
+	// Accepted means that this router now holds the offered version as its latest.
 	Accepted OfferResult = iota
-	// Duplicate: the offer is what is held already.
+	// Duplicate means that the offered version is the one already held.
 	Duplicate
-	// Stale: a later version is held; the offer is refused.
+	// Stale means that the offer was refused because a later version is held.
 	Stale
-	// Conflict: the same version with other content is held; the offer is
-	// refused and operators must be told.
+	// Conflict means that the offer was refused because the same version is held
+	// with other content. The caller must report it to the operators.
 	Conflict
 )
 
-// Acceptor decides which version is in force at one router.
+// Acceptor decides by quorum which bundle version is in force at one router.
 //
-// A router holds at most one content of a version, the first it saw, and never
-// an older version after a newer one. A version comes in force here once a
-// majority of the listed VMs hold the same content. Two operators who roll out
-// different contents as one version thus can't both succeed: a majority can't
-// hold both. And an accepted version can't be lost by restarts of a minority:
-// a restarted router has no memory, so it serves nothing before it has heard a
-// majority, and at least one of those holds the accepted version.
+// A router holds at most one content of a version, the first that it received
+// unless a majority holds another, and never an older version after a newer one.
+// A version is in force at this router once a majority of the voters hold the
+// same content. If two operators roll out different contents as the same version,
+// at most one of them takes effect, because no two contents can both have a
+// majority. Restarts of a minority can't lose an accepted version: a restarted
+// router has no stored state, so it serves no requests until a majority has
+// reported, and at least one router of that majority holds the accepted version.
 //
-// Invariant: inForce.Version never falls within one process.
+// Invariant: inForce.Version never decreases within one process.
 type Acceptor struct {
 	self    string
-	listed  []string
-	held    VersionID
+	voters  []string
+	latest  VersionID
 	inForce VersionID
-	heard   map[string]VersionID
-	// conflicts are contents refused for a version that is held with another.
+	peers   map[string]VersionID
+	// conflicts holds the refused contents of versions held with other content.
 	conflicts map[VersionID]bool
 }
 
-// NewAcceptor returns the acceptor of a router that has just started.
+// NewAcceptor returns the acceptor of the router named self. It holds no version,
+// and self is the only voter until SetVoters is called.
 func NewAcceptor(self string) *Acceptor {
 	return &Acceptor{
 		self:      self,
-		listed:    []string{self},
-		heard:     map[string]VersionID{},
+		voters:    []string{self},
+		peers:     map[string]VersionID{},
 		conflicts: map[VersionID]bool{},
 	}
 }
 
-// SetVoters names the VMs whose majority decides. What dropped VMs held no longer
-// counts.
+// SetVoters sets the VMs whose majority decides; self is added if it is missing.
+// The versions that removed VMs reported no longer count.
 func (a *Acceptor) SetVoters(names []string) {
-	a.listed = slices.Clone(names)
-	if !slices.Contains(a.listed, a.self) {
-		a.listed = append(a.listed, a.self)
+	a.voters = slices.Clone(names)
+	if !slices.Contains(a.voters, a.self) {
+		a.voters = append(a.voters, a.self)
 	}
-	a.decide()
+	a.updateInForce()
 }
 
-// Offer judges a verified bundle from the platform or from a peer.
-func (a *Acceptor) Offer(m VersionID) OfferResult {
+// Offer processes a bundle received from the platform or from a peer. The caller
+// must have verified its signatures.
+func (a *Acceptor) Offer(v VersionID) OfferResult {
 	switch {
-	case m == a.held:
+	case v == a.latest:
 		return Duplicate
-	case m.Version < a.held.Version:
+	case v.Version < a.latest.Version:
 		return Stale
-	case m.Version == a.held.Version:
-		return a.conflict(m)
+	case v.Version == a.latest.Version:
+		return a.resolveConflict(v)
 	}
-	a.held = m
-	a.decide()
+	a.latest = v
+	a.updateInForce()
 	return Accepted
 }
 
-// conflict refuses another content of the held version, unless a majority holds
-// it: then it is the accepted one, and this router was on the losing side of a
-// race between two operators.
-func (a *Acceptor) conflict(m VersionID) OfferResult {
-	if a.inForce != a.held && a.holders(m) >= a.majority() {
-		a.held = m
-		a.decide()
+// resolveConflict refuses another content of the held version, unless a majority
+// holds it. In that case it is the accepted content and replaces the held one,
+// which lost a race between two operators.
+func (a *Acceptor) resolveConflict(v VersionID) OfferResult {
+	if a.inForce != a.latest && a.countHolders(v) >= a.majority() {
+		a.latest = v
+		a.updateInForce()
 		return Accepted
 	}
-	a.conflicts[m] = true
+	a.conflicts[v] = true
 	return Conflict
 }
 
-// RecordPeer notes what a peer holds. It returns true if this router should fetch it:
-// the peer's is later, or it is the accepted content of the held version.
-func (a *Acceptor) RecordPeer(peer string, m VersionID) bool {
-	a.heard[peer] = m
-	a.decide()
-	if m.Later(a.held) {
+// RecordPeer records the version that a peer holds. It returns true if this router
+// should fetch it: the version is later than the held one, or a majority holds it
+// as the content of the held version.
+func (a *Acceptor) RecordPeer(peer string, v VersionID) bool {
+	a.peers[peer] = v
+	a.updateInForce()
+	if v.Later(a.latest) {
 		return true
 	}
-	return m.Version == a.held.Version && m != a.held && a.inForce != a.held &&
-		a.holders(m) >= a.majority()
+	return v.Version == a.latest.Version && v != a.latest && a.inForce != a.latest &&
+		a.countHolders(v) >= a.majority()
 }
 
-// decide puts the held version in force once a majority holds it.
-func (a *Acceptor) decide() {
-	if a.held.Later(a.inForce) && a.holders(a.held) >= a.majority() {
-		a.inForce = a.held
+// updateInForce puts the latest version in force once a majority holds it.
+func (a *Acceptor) updateInForce() {
+	if a.latest.Later(a.inForce) && a.countHolders(a.latest) >= a.majority() {
+		a.inForce = a.latest
 	}
 }
 
-func (a *Acceptor) majority() int { return len(a.listed)/2 + 1 }
+func (a *Acceptor) majority() int { return len(a.voters)/2 + 1 }
 
-// holders counts the listed VMs that hold exactly the mark. Who holds a later
-// version may have held another content of this one before.
-func (a *Acceptor) holders(m VersionID) int {
+// countHolders returns the number of voters that hold exactly v. Voters with a later
+// version don't count, since they may have held other content of this version before.
+func (a *Acceptor) countHolders(v VersionID) int {
 	n := 0
-	for _, name := range a.listed {
-		held := a.heard[name]
+	for _, name := range a.voters {
+		held := a.peers[name]
 		if name == a.self {
-			held = a.held
+			held = a.latest
 		}
-		if held == m {
+		if held == v {
 			n++
 		}
 	}
 	return n
 }
 
-// Ready reports whether a majority of the listed VMs, this one included, have
-// told what they hold. Before that a restarted router can't know whether the
-// version that the platform gives is older than the accepted one.
+// Ready reports whether a majority of the voters, this router included, have
+// reported the version they hold. Before that, a restarted router can't determine
+// whether the platform's version is older than the accepted one.
 func (a *Acceptor) Ready() bool {
-	told := 1
-	for _, name := range a.listed {
-		if _, ok := a.heard[name]; ok && name != a.self {
-			told++
+	reported := 1
+	for _, name := range a.voters {
+		if _, ok := a.peers[name]; ok && name != a.self {
+			reported++
 		}
 	}
-	return told >= a.majority()
+	return reported >= a.majority()
 }
 
-// InForce is the version that this router acts by; zero for none yet.
+// InForce returns the version that this router applies, or zero if there is none yet.
 func (a *Acceptor) InForce() VersionID { return a.inForce }
 
-// Latest is the latest version held here, in force or not.
-func (a *Acceptor) Latest() VersionID { return a.held }
+// Latest returns the latest version held here, in force or not.
+func (a *Acceptor) Latest() VersionID { return a.latest }
 
-// Conflicts returns the refused contents, by version.
+// Conflicts returns the refused contents, sorted by version.
 func (a *Acceptor) Conflicts() []VersionID {
 	return slices.SortedFunc(maps.Keys(a.conflicts), func(x, y VersionID) int {
 		return int(x.Version) - int(y.Version)
--- a/bundle/acceptor_test.go
+++ b/bundle/acceptor_test.go
@@ -10,36 +10,37 @@
 	"github.com/aspenswitch/aspenswitch/bundle"
 )
 
-func mark(version uint64, digest string) bundle.VersionID {
+func versionID(version uint64, digest string) bundle.VersionID {
 	return bundle.VersionID{Version: version, Digest: digest}
 }
 
-// A router restarts without memory beside a stale platform, which gives it
-// version 1 while the fleet acts by 2. It must not act by 1, however often the
-// platform repeats it, and acts by 2 once its peers have told it.
+// Guards against a restarted router, which has no stored state, applying the
+// outdated version 1 from a stale platform while the fleet applies version 2. It
+// must refuse version 1, however often the platform offers it, and apply version 2
+// once its peers have reported it.
 func TestRestartBesideAStalePlatformDoesNotRevert(t *testing.T) {
 	g := NewWithT(t)
 	a := bundle.NewAcceptor("vm1")
 	a.SetVoters([]string{"vm1", "vm2", "vm3"})
 	g.Expect(a.Ready()).To(BeFalse())
-	g.Expect(a.Offer(mark(1, "a"))).To(Equal(bundle.Accepted))
+	g.Expect(a.Offer(versionID(1, "a"))).To(Equal(bundle.Accepted))
 	g.Expect(a.InForce()).To(BeZero())
-	g.Expect(a.RecordPeer("vm2", mark(2, "b"))).To(BeTrue(), "fetch what the peer holds")
-	g.Expect(a.Offer(mark(2, "b"))).To(Equal(bundle.Accepted))
-	g.Expect(a.InForce()).To(Equal(mark(2, "b")))
-	g.Expect(a.Offer(mark(1, "a"))).To(Equal(bundle.Stale))
-	g.Expect(a.InForce()).To(Equal(mark(2, "b")))
+	g.Expect(a.RecordPeer("vm2", versionID(2, "b"))).To(BeTrue(), "fetch what the peer holds")
+	g.Expect(a.Offer(versionID(2, "b"))).To(Equal(bundle.Accepted))
+	g.Expect(a.InForce()).To(Equal(versionID(2, "b")))
+	g.Expect(a.Offer(versionID(1, "a"))).To(Equal(bundle.Stale))
+	g.Expect(a.InForce()).To(Equal(versionID(2, "b")))
 }
 
-// Two operators roll out different contents as one version at the same time.
-// Three routers saw one first, two the other. The three win; the two take it
-// over, and nobody acts by the loser's.
+// Guards against two contents of one version in force after two operators roll it
+// out at the same time. Three of five routers receive one content first, two the
+// other: the majority's content must be in force at all routers.
 func TestTwoRolloutsOfOneVersion(t *testing.T) {
 	g := NewWithT(t)
 	names := []string{"vm1", "vm2", "vm3", "vm4", "vm5"}
 	first := map[string]bundle.VersionID{
-		"vm1": mark(2, "a"), "vm2": mark(2, "a"), "vm3": mark(2, "a"),
-		"vm4": mark(2, "b"), "vm5": mark(2, "b"),
+		"vm1": versionID(2, "a"), "vm2": versionID(2, "a"), "vm3": versionID(2, "a"),
+		"vm4": versionID(2, "b"), "vm5": versionID(2, "b"),
 	}
 	fleet := map[string]*bundle.Acceptor{}
 	for _, n := range names {
@@ -47,8 +48,8 @@
 		fleet[n].SetVoters(names)
 		fleet[n].Offer(first[n])
 	}
-	g.Expect(fleet["vm4"].Offer(mark(2, "a"))).To(Equal(bundle.Conflict), "refused while nobody knows who wins")
-	g.Expect(fleet["vm4"].Conflicts()).To(ConsistOf(mark(2, "a")))
+	g.Expect(fleet["vm4"].Offer(versionID(2, "a"))).To(Equal(bundle.Conflict), "refused before a majority holds either content")
+	g.Expect(fleet["vm4"].Conflicts()).To(ConsistOf(versionID(2, "a")))
 	for range 2 {
 		for _, n := range names {
 			for _, peer := range names {
@@ -59,13 +60,13 @@
 		}
 	}
 	for _, n := range names {
-		g.Expect(fleet[n].InForce()).To(Equal(mark(2, "a")), n)
+		g.Expect(fleet[n].InForce()).To(Equal(versionID(2, "a")), n)
 	}
 }
 
-// Routers offer, hear, restart and change their minds about the list in any
-// order. The version in force never falls at a process that lives, and no two
-// processes ever act by different contents of one version.
+// Guards against the version in force decreasing within a process, and against two
+// processes applying different contents of one version, for any order of offers
+// from the platform and reports from peers.
 func TestInForceNeverReverts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const n = 5
@@ -84,7 +85,7 @@
 			i, j := rapid.IntRange(0, n-1).Draw(t, "i"), rapid.IntRange(0, n-1).Draw(t, "j")
 			if rapid.Bool().Draw(t, "platform") {
 				v := uint64(rapid.IntRange(1, 4).Draw(t, "version"))
-				fleet[i].Offer(mark(v, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "content")))
+				fleet[i].Offer(versionID(v, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "content")))
 			} else if i != j && fleet[i].RecordPeer(names[j], fleet[j].Latest()) {
 				fleet[i].Offer(fleet[j].Latest())
 			}
--- a/bundle/bundle.go
+++ b/bundle/bundle.go
@@ -7,26 +7,28 @@
 
 // Bundle is one version of the fleet's settings.
 type Bundle struct {
-	// Version only grows; going back is a new version with old content.
+	// Version must increase with each roll-out. To roll back, publish the old
+	// content as a new version.
 	Version   uint64     `json:"version"`
 	Teams     []Team     `json:"teams"`
 	Pools     []Pool     `json:"pools"`
 	Upstreams []Upstream `json:"upstreams"`
-	// Evacuated are failure domains whose upstreams get no new work.
+	// Evacuated lists failure domains whose upstreams get no new requests.
 	Evacuated []string `json:"evacuated,omitempty"`
 	Limits    Limits   `json:"limits"`
 }
 
-// Team is who the fleet serves.
+// Team is a tenant of the fleet.
 type Team struct {
-	// ID is the team's number between routers; it is never used for another team.
+	// ID identifies the team in messages between routers. It must never be reused
+	// for another team.
 	ID   int    `json:"id"`
 	Name string `json:"name"`
-	// Share is what the team is owed, relative to the other teams' shares.
+	// Share is the team's fair-share weight relative to the other teams.
 	Share float64 `json:"share"`
-	// Keys are hashes of the team's bearer keys: "sha256:" and 64 hex digits.
+	// Keys are hashes of the team's bearer keys: "sha256:" followed by 64 hex digits.
 	Keys []string `json:"keys"`
-	// Pools are the names of the pools that the team may use; empty for all.
+	// Pools are the names of the pools that the team may use; empty means all pools.
 	Pools []string `json:"pools"`
 }
 
@@ -34,23 +36,24 @@
 type Pool struct {
 	ID   int    `json:"id"`
 	Name string `json:"name"`
-	// Models are served by every engine of the pool.
+	// Models are the names of the models that every engine of the pool serves.
 	Models []string `json:"models"`
-	// Service is the name of a plain service, with its routes.
+	// Service is the name of the plain service that the pool serves, empty for a
+	// pool of engines. Routes apply to services only.
 	Service string  `json:"service"`
 	Routes  []Route `json:"routes"`
 }
 
-// Route says how requests of a plain service are to be treated.
+// Route defines how requests to a plain service are handled.
 type Route struct {
 	Method string `json:"method"`
-	// Path is a prefix of the path below the service.
+	// Path is a prefix of the request path relative to the service.
 	Path string `json:"path"`
-	// Repeatable requests are idempotent: they may be sent again after a failure.
+	// Repeatable marks requests as idempotent: they may be retried after a failure.
 	Repeatable bool `json:"repeatable"`
 }
 
-// Kind is what an upstream is.
+// Kind is the type of an upstream.
 type Kind string
 
 // The kinds of upstream.
@@ -59,9 +62,10 @@
 	Service Kind = "service"
 )
 
-// Upstream is one model engine or plain service.
+// Upstream is one instance of a model engine or plain service.
 type Upstream struct {
-	// ID is the upstream's number between routers; it is never used for another.
+	// ID identifies the upstream in messages between routers. It must never be
+	// reused for another upstream.
 	ID   int    `json:"id"`
 	Name string `json:"name"`
 	Kind Kind   `json:"kind"`
@@ -69,28 +73,28 @@
 	// Address is an IP address and port.
 	Address       string `json:"address"`
 	FailureDomain string `json:"failureDomain"`
-	// Slots is the most requests that the upstream serves at once.
+	// Slots is the maximum number of concurrent requests.
 	Slots int `json:"slots"`
-	// Resumable engines continue a broken stream from a given event.
+	// Resumable marks engines that can resume an interrupted stream from a given event.
 	Resumable bool `json:"resumable"`
-	// Leaving upstreams get no new work.
+	// Leaving marks upstreams that get no new requests.
 	Leaving bool `json:"leaving"`
 }
 
-// Limits bound what callers may ask.
+// Limits bounds callers' requests.
 type Limits struct {
-	// BodyBytes is the largest request body.
+	// BodyBytes is the maximum size of a request body in bytes.
 	BodyBytes int64 `json:"bodyBytes"`
-	// QueuePerTeam is how many requests of a team may wait at one router.
+	// QueuePerTeam is the maximum number of queued requests of a team at one router.
 	QueuePerTeam int `json:"queuePerTeam"`
 }
 
-// Schedulable reports whether an upstream of the bundle gets new work.
+// Schedulable reports whether an upstream of the bundle may get new requests.
 func (b *Bundle) Schedulable(u Upstream) bool {
 	return !u.Leaving && !slices.Contains(b.Evacuated, u.FailureDomain)
 }
 
-// PoolByName returns the pool with the name.
+// PoolByName returns the pool with the given name and whether it exists.
 func (b *Bundle) PoolByName(name string) (Pool, bool) {
 	i := slices.IndexFunc(b.Pools, func(p Pool) bool { return p.Name == name })
 	if i < 0 {
@@ -99,7 +103,7 @@
 	return b.Pools[i], true
 }
 
-// PoolForModel returns the pool that serves a model.
+// PoolForModel returns the pool that serves a model and whether there is one.
 func (b *Bundle) PoolForModel(model string) (Pool, bool) {
 	i := slices.IndexFunc(b.Pools, func(p Pool) bool { return slices.Contains(p.Models, model) })
 	if i < 0 {
@@ -108,7 +112,7 @@
 	return b.Pools[i], true
 }
 
-// PoolForService returns the pool of a plain service.
+// PoolForService returns the pool of a plain service and whether there is one.
 func (b *Bundle) PoolForService(service string) (Pool, bool) {
 	i := slices.IndexFunc(b.Pools, func(p Pool) bool { return p.Service == service && service != "" })
 	if i < 0 {
@@ -122,7 +126,7 @@
 	return len(t.Pools) == 0 || slices.Contains(t.Pools, p.Name)
 }
 
-// Models returns the models that the team may use, sorted.
+// Models returns the names of the models that the team may use, sorted.
 func (b *Bundle) Models(t Team) []string {
 	var models []string
 	for _, p := range b.Pools {
@@ -134,14 +138,15 @@
 	return models
 }
 
-// Repeatable reports whether a request to the pool's service may be sent again.
-// The longest matching route decides; without one, only methods that HTTP calls
-// safe are repeatable, so that a forgotten route can't double a booking.
+// Repeatable reports whether a request to the pool's service may be retried. The
+// route with the longest matching path decides. Without a matching route, only the
+// safe HTTP methods GET, HEAD and OPTIONS are repeatable, so that a missing route
+// can't cause a non-idempotent request such as a booking to run twice.
 func (p Pool) Repeatable(method, path string) bool {
-	longest, repeatable := -1, method == "GET" || method == "HEAD" || method == "OPTIONS"
+	longestPath, repeatable := -1, method == "GET" || method == "HEAD" || method == "OPTIONS"
 	for _, r := range p.Routes {
-		if r.Method == method && strings.HasPrefix(path, r.Path) && len(r.Path) > longest {
-			longest, repeatable = len(r.Path), r.Repeatable
+		if r.Method == method && strings.HasPrefix(path, r.Path) && len(r.Path) > longestPath {
+			longestPath, repeatable = len(r.Path), r.Repeatable
 		}
 	}
 	return repeatable
--- a/bundle/check.go
+++ b/bundle/check.go
@@ -10,16 +10,16 @@
 	"github.com/aspenswitch/aspenswitch/jsonc"
 )
 
-// Bounds of the values in a bundle.
+// Bounds and defaults of the values in a bundle.
 const (
-	maxSlots        = 4096
-	defaultBody     = 1 << 20
-	defaultQueue    = 1000
-	maxBundleBytes  = 1 << 20
-	maxShare        = 1e6
-	minShare        = 1e-3
-	keyHashPrefix   = "sha256:"
-	keyHashHexChars = 64
+	maxSlots            = 4096
+	defaultBodyBytes    = 1 << 20
+	defaultQueuePerTeam = 1000
+	maxBundleBytes      = 1 << 20
+	maxShare            = 1e6
+	minShare            = 1e-3
+	keyHashPrefix       = "sha256:"
+	keyHashHexChars     = 64
 )
 
 var (
@@ -27,14 +27,15 @@
 	hashPattern = regexp.MustCompile(fmt.Sprintf(`^%s[0-9a-f]{%d}$`, keyHashPrefix, keyHashHexChars))
 )
 
-// Parse reads and checks a bundle. The bundle is usable only without findings.
+// Parse decodes and validates a bundle; file is the name used in findings. The
+// bundle must be used only if there are no findings.
 func Parse(file string, raw []byte) (*Bundle, jsonc.Findings) {
 	b := &Bundle{}
 	doc := jsonc.Decode(file, raw, b)
 	if len(doc.Findings()) > 0 {
 		return nil, doc.Findings()
 	}
-	c := checker{doc: doc, b: b}
+	c := checker{doc: doc, bundle: b}
 	c.check(len(raw))
 	b.Limits.setDefaults()
 	return b, doc.Findings()
@@ -42,150 +43,150 @@
 
 func (l *Limits) setDefaults() {
 	if l.BodyBytes == 0 {
-		l.BodyBytes = defaultBody
+		l.BodyBytes = defaultBodyBytes
 	}
 	if l.QueuePerTeam == 0 {
-		l.QueuePerTeam = defaultQueue
+		l.QueuePerTeam = defaultQueuePerTeam
 	}
 }
 
-// checker collects the findings about a bundle's values.
+// checker validates a bundle's values and adds findings to doc.
 type checker struct {
-	doc *jsonc.Document
-	b   *Bundle
+	doc    *jsonc.Document
+	bundle *Bundle
 }
 
 func (c *checker) check(size int) {
 	if size > maxBundleBytes {
-		c.doc.Add("", "is %d bytes; the platform holds at most %d", size, maxBundleBytes)
+		c.doc.Add("", "is %d bytes; the platform stores at most %d", size, maxBundleBytes)
 	}
-	if c.b.Version == 0 {
+	if c.bundle.Version == 0 {
 		c.doc.Add("/version", "must be 1 or more")
 	}
-	c.teams()
-	c.pools()
-	c.upstreams()
-	c.evacuated()
-	c.limits()
-}
-
-// evacuated finds failure domains that no upstream is in: an order for a misspelt one would do
-// nothing.
-func (c *checker) evacuated() {
-	seen := unique[string]{}
-	for i, domain := range c.b.Evacuated {
-		at := fmt.Sprintf("/evacuated/%d", i)
-		if !slices.ContainsFunc(c.b.Upstreams, func(u Upstream) bool { return u.FailureDomain == domain }) {
-			c.doc.Add(at, "no upstream is in the failure domain %q", domain)
+	c.checkTeams()
+	c.checkPools()
+	c.checkUpstreams()
+	c.checkEvacuated()
+	c.checkLimits()
+}
+
+// checkEvacuated reports evacuated failure domains that have no upstream, because
+// evacuating a misspelt domain would have no effect.
+func (c *checker) checkEvacuated() {
+	seen := firstPaths[string]{}
+	for i, domain := range c.bundle.Evacuated {
+		path := fmt.Sprintf("/evacuated/%d", i)
+		if !slices.ContainsFunc(c.bundle.Upstreams, func(u Upstream) bool { return u.FailureDomain == domain }) {
+			c.doc.Add(path, "no upstream is in the failure domain %q", domain)
 			continue
 		}
-		c.once(seen, at, domain, "failure domain")
+		c.checkUnique(seen, path, domain, "failure domain")
 	}
 }
 
-func (c *checker) teams() {
-	ids, names, keys := unique[int]{}, unique[string]{}, unique[string]{}
-	for i, t := range c.b.Teams {
-		at := fmt.Sprintf("/teams/%d", i)
-		c.id(ids, at, t.ID)
-		c.name(names, at, t.Name)
+func (c *checker) checkTeams() {
+	ids, names, keys := firstPaths[int]{}, firstPaths[string]{}, firstPaths[string]{}
+	for i, t := range c.bundle.Teams {
+		path := fmt.Sprintf("/teams/%d", i)
+		c.checkID(ids, path, t.ID)
+		c.checkName(names, path, t.Name)
 		if !(t.Share >= minShare && t.Share <= maxShare) {
-			c.doc.Add(at+"/share", "must be from %g to %g", minShare, maxShare)
+			c.doc.Add(path+"/share", "must be from %g to %g", minShare, maxShare)
 		}
 		for k, key := range t.Keys {
-			c.key(keys, fmt.Sprintf("%s/keys/%d", at, k), key)
+			c.checkKey(keys, fmt.Sprintf("%s/keys/%d", path, k), key)
 		}
 		for k, pool := range t.Pools {
-			if _, ok := c.b.PoolByName(pool); !ok {
-				c.doc.Add(fmt.Sprintf("%s/pools/%d", at, k), "no pool is named %q", pool)
+			if _, ok := c.bundle.PoolByName(pool); !ok {
+				c.doc.Add(fmt.Sprintf("%s/pools/%d", path, k), "no pool is named %q", pool)
 			}
 		}
 	}
 }
 
-func (c *checker) key(seen unique[string], at, key string) {
+func (c *checker) checkKey(seen firstPaths[string], path, key string) {
 	if !hashPattern.MatchString(key) {
-		c.doc.Add(at, "must be %q and %d hex digits", keyHashPrefix, keyHashHexChars)
+		c.doc.Add(path, "must be %q followed by %d hex digits", keyHashPrefix, keyHashHexChars)
 		return
 	}
-	if first, dup := seen.add(key, at); dup {
-		c.doc.Add(at, "the same key stands at %s", first)
+	if first, dup := seen.add(key, path); dup {
+		c.doc.Add(path, "duplicate key, first used at %s", first)
 	}
 }
 
-func (c *checker) pools() {
-	ids, names := unique[int]{}, unique[string]{}
-	models, services := unique[string]{}, unique[string]{}
-	for i, p := range c.b.Pools {
-		at := fmt.Sprintf("/pools/%d", i)
-		c.id(ids, at, p.ID)
-		c.name(names, at, p.Name)
+func (c *checker) checkPools() {
+	ids, names := firstPaths[int]{}, firstPaths[string]{}
+	models, services := firstPaths[string]{}, firstPaths[string]{}
+	for i, p := range c.bundle.Pools {
+		path := fmt.Sprintf("/pools/%d", i)
+		c.checkID(ids, path, p.ID)
+		c.checkName(names, path, p.Name)
 		if (len(p.Models) == 0) == (p.Service == "") {
-			c.doc.Add(at, "must have either models or a service")
+			c.doc.Add(path, "must have either models or a service")
 		}
 		for k, m := range p.Models {
-			c.once(models, fmt.Sprintf("%s/models/%d", at, k), m, "model")
+			c.checkUnique(models, fmt.Sprintf("%s/models/%d", path, k), m, "model")
 		}
 		if p.Service != "" {
-			c.once(services, at+"/service", p.Service, "service")
+			c.checkUnique(services, path+"/service", p.Service, "service")
 		}
-		c.routes(at, p)
+		c.checkRoutes(path, p)
 	}
 }
 
-func (c *checker) routes(at string, p Pool) {
+func (c *checker) checkRoutes(path string, p Pool) {
 	if p.Service == "" && len(p.Routes) > 0 {
-		c.doc.Add(at+"/routes", "only a service has routes")
+		c.doc.Add(path+"/routes", "only a service has routes")
 	}
 	for k, r := range p.Routes {
-		place := fmt.Sprintf("%s/routes/%d", at, k)
+		routePath := fmt.Sprintf("%s/routes/%d", path, k)
 		if r.Method == "" || r.Method != strings.ToUpper(r.Method) {
-			c.doc.Add(place+"/method", "must be an HTTP method in capitals")
+			c.doc.Add(routePath+"/method", "must be an HTTP method in upper case")
 		}
 		if !strings.HasPrefix(r.Path, "/") {
-			c.doc.Add(place+"/path", "must begin with /")
+			c.doc.Add(routePath+"/path", "must begin with /")
 		}
 	}
 }
 
-func (c *checker) upstreams() {
-	ids, names, addresses := unique[int]{}, unique[string]{}, unique[string]{}
-	for i, u := range c.b.Upstreams {
-		at := fmt.Sprintf("/upstreams/%d", i)
-		c.id(ids, at, u.ID)
-		c.name(names, at, u.Name)
+func (c *checker) checkUpstreams() {
+	ids, names, addresses := firstPaths[int]{}, firstPaths[string]{}, firstPaths[string]{}
+	for i, u := range c.bundle.Upstreams {
+		path := fmt.Sprintf("/upstreams/%d", i)
+		c.checkID(ids, path, u.ID)
+		c.checkName(names, path, u.Name)
 		if _, err := netip.ParseAddrPort(u.Address); err != nil {
-			c.doc.Add(at+"/address", "must be an IP address and a port, such as 10.0.0.1:8000")
+			c.doc.Add(path+"/address", "must be an IP address and a port, such as 10.0.0.1:8000")
 		} else {
-			c.once(addresses, at+"/address", u.Address, "address")
+			c.checkUnique(addresses, path+"/address", u.Address, "address")
 		}
 		if u.Slots < 1 || u.Slots > maxSlots {
-			c.doc.Add(at+"/slots", "must be from 1 to %d", maxSlots)
+			c.doc.Add(path+"/slots", "must be from 1 to %d", maxSlots)
 		}
-		c.upstreamKind(at, u)
+		c.checkUpstreamKind(path, u)
 	}
 }
 
-func (c *checker) upstreamKind(at string, u Upstream) {
+func (c *checker) checkUpstreamKind(path string, u Upstream) {
 	if u.Kind != Engine && u.Kind != Service {
-		c.doc.Add(at+"/kind", "must be %q or %q", Engine, Service)
+		c.doc.Add(path+"/kind", "must be %q or %q", Engine, Service)
 		return
 	}
-	p, ok := c.b.PoolByName(u.Pool)
+	p, ok := c.bundle.PoolByName(u.Pool)
 	if !ok {
-		c.doc.Add(at+"/pool", "no pool is named %q", u.Pool)
+		c.doc.Add(path+"/pool", "no pool is named %q", u.Pool)
 		return
 	}
 	if (u.Kind == Service) != (p.Service != "") {
-		c.doc.Add(at+"/kind", "pool %q is not for upstreams of kind %q", u.Pool, u.Kind)
+		c.doc.Add(path+"/kind", "pool %q is not for upstreams of kind %q", u.Pool, u.Kind)
 	}
 	if u.Kind == Service && u.Resumable {
-		c.doc.Add(at+"/resumable", "only engines are resumable")
+		c.doc.Add(path+"/resumable", "only engines are resumable")
 	}
 }
 
-func (c *checker) limits() {
-	l := c.b.Limits
+func (c *checker) checkLimits() {
+	l := c.bundle.Limits
 	if l.BodyBytes < 0 {
 		c.doc.Add("/limits/bodyBytes", "must not be negative")
 	}
@@ -194,37 +195,37 @@
 	}
 }
 
-func (c *checker) id(seen unique[int], at string, id int) {
+func (c *checker) checkID(seen firstPaths[int], path string, id int) {
 	if id < 1 {
-		c.doc.Add(at+"/id", "must be 1 or more")
+		c.doc.Add(path+"/id", "must be 1 or more")
 		return
 	}
-	if first, dup := seen.add(id, at+"/id"); dup {
-		c.doc.Add(at+"/id", "the same id stands at %s", first)
+	if first, dup := seen.add(id, path+"/id"); dup {
+		c.doc.Add(path+"/id", "duplicate id, first used at %s", first)
 	}
 }
 
-func (c *checker) name(seen unique[string], at, name string) {
+func (c *checker) checkName(seen firstPaths[string], path, name string) {
 	if !namePattern.MatchString(name) {
-		c.doc.Add(at+"/name", "must be lower-case letters, digits, dots and hyphens")
+		c.doc.Add(path+"/name", "must be lower-case letters, digits, dots and hyphens")
 		return
 	}
-	c.once(seen, at+"/name", name, "name")
+	c.checkUnique(seen, path+"/name", name, "name")
 }
 
-func (c *checker) once(seen unique[string], at, value, what string) {
-	if first, dup := seen.add(value, at); dup {
-		c.doc.Add(at, "the same %s stands at %s", what, first)
+func (c *checker) checkUnique(seen firstPaths[string], path, value, kind string) {
+	if first, dup := seen.add(value, path); dup {
+		c.doc.Add(path, "duplicate %s, first used at %s", kind, first)
 	}
 }
 
-// unique remembers where a value stood first.
-type unique[K comparable] map[K]string
+// firstPaths maps a value to the path of its first use.
+type firstPaths[K comparable] map[K]string
 
-func (u unique[K]) add(key K, at string) (first string, dup bool) {
-	if first, dup = u[key]; dup {
+func (f firstPaths[K]) add(key K, path string) (first string, dup bool) {
+	if first, dup = f[key]; dup {
 		return first, true
 	}
-	u[key] = at
+	f[key] = path
 	return "", false
 }
--- a/bundle/check_test.go
+++ b/bundle/check_test.go
@@ -12,7 +12,7 @@
 	"github.com/aspenswitch/aspenswitch/bundle"
 )
 
-const good = `// a comment
+const validTemplate = `// a comment
 {
   "version": 3,
   "teams": [{"id": 1, "name": "schools", "share": 2, "keys": ["%s"]}],
@@ -27,11 +27,11 @@
   ],
 }`
 
-func goodText() string { return fmt.Sprintf(good, bundle.HashKey("k")) }
+func validText() string { return fmt.Sprintf(validTemplate, bundle.HashKey("k")) }
 
 var _ = Describe("checking a bundle", func() {
-	It("takes a good one and fills the defaults", func() {
-		b, findings := bundle.Parse("b.json", []byte(goodText()))
+	It("accepts a valid bundle and applies the defaults", func() {
+		b, findings := bundle.Parse("b.json", []byte(validText()))
 		Expect(findings).To(BeEmpty())
 		Expect(b.Limits.BodyBytes).To(BeNumerically(">", 0))
 		team, ok := bundle.NewIndex(b).Team("k")
@@ -41,8 +41,8 @@
 		Expect(ok).To(BeFalse())
 	})
 
-	It("lets the longest route decide, and never repeats what no route names", func() {
-		b, _ := bundle.Parse("b.json", []byte(goodText()))
+	It("uses the longest matching route, and repeats only safe methods without one", func() {
+		b, _ := bundle.Parse("b.json", []byte(validText()))
 		p, _ := b.PoolForService("booking")
 		Expect(p.Repeatable("POST", "/search")).To(BeTrue())
 		Expect(p.Repeatable("POST", "/bookings/7")).To(BeFalse())
@@ -50,11 +50,11 @@
 		Expect(p.Repeatable("GET", "/x")).To(BeTrue())
 	})
 
-	It("reports all findings at once, each with its place", func() {
+	It("reports all findings at once, each with its position", func() {
 		text := strings.NewReplacer(`"version": 3`, `"version": 0`, `"share": 2`, `"share": -2`,
-			`"10.0.0.1:80"`, `"host:80"`, `"slots": 4`, `"slots": 0, "colour": 1`).Replace(goodText())
+			`"10.0.0.1:80"`, `"host:80"`, `"slots": 4`, `"slots": 0, "colour": 1`).Replace(validText())
 		_, findings := bundle.Parse("b.json", []byte(text))
-		// The unknown field is found with the form, before values are looked at.
+		// Unknown fields are reported by decoding, before values are validated.
 		Expect(findings.Error()).To(Equal(`b.json:12:101: /upstreams/0/colour: unknown field`))
 		_, findings = bundle.Parse("b.json", []byte(strings.Replace(text, `, "colour": 1`, "", 1)))
 		Expect(findings).To(HaveLen(4))
@@ -62,34 +62,34 @@
 		Expect(findings[1].String()).To(HavePrefix("b.json:4:51: /teams/0/share: "))
 	})
 
-	It("evacuates failure domains, and finds those that no upstream is in", func() {
-		in := func(evacuated string) string {
-			text := strings.Replace(goodText(), `"slots": 4`, `"slots": 4, "failureDomain": "north"`, 1)
+	It("evacuates failure domains, and reports those without an upstream", func() {
+		withEvacuated := func(evacuated string) string {
+			text := strings.Replace(validText(), `"slots": 4`, `"slots": 4, "failureDomain": "north"`, 1)
 			return strings.Replace(text, `"version": 3,`, `"version": 3, "evacuated": [`+evacuated+`],`, 1)
 		}
-		b, findings := bundle.Parse("b.json", []byte(in(`"north"`)))
+		b, findings := bundle.Parse("b.json", []byte(withEvacuated(`"north"`)))
 		Expect(findings).To(BeEmpty())
 		Expect(b.Schedulable(b.Upstreams[0])).To(BeFalse())
-		open, findings := bundle.Parse("b.json", []byte(in("")))
+		notEvacuated, findings := bundle.Parse("b.json", []byte(withEvacuated("")))
 		Expect(findings).To(BeEmpty())
-		Expect(open.Schedulable(open.Upstreams[0])).To(BeTrue())
-		open.Version++
-		Expect(bundle.Diff(b, open)).To(ContainElement("evacuated: [north] to []"))
-		_, findings = bundle.Parse("b.json", []byte(in(`"nroth", "north", "north"`)))
+		Expect(notEvacuated.Schedulable(notEvacuated.Upstreams[0])).To(BeTrue())
+		notEvacuated.Version++
+		Expect(bundle.Diff(b, notEvacuated)).To(ContainElement("evacuated: [north] to []"))
+		_, findings = bundle.Parse("b.json", []byte(withEvacuated(`"nroth", "north", "north"`)))
 		Expect(findings).To(HaveLen(2))
 		Expect(findings[0].String()).To(HavePrefix("b.json:3:31: /evacuated/0: no upstream is in the failure domain"))
 		Expect(findings[1].Path).To(Equal("/evacuated/2"))
 	})
 
-	It("places what is no JSON", func() {
+	It("reports the line of a JSON syntax error", func() {
 		_, findings := bundle.Parse("b.json", []byte("{\n  \"version\": ,\n}"))
 		Expect(findings).To(HaveLen(1))
 		Expect(findings[0].Line).To(Equal(2))
 	})
 
-	It("tells what a new version changes, and warns of a reused id", func() {
-		a, _ := bundle.Parse("a", []byte(goodText()))
-		b, findings := bundle.Parse("b", []byte(strings.NewReplacer("schools", "homes", `"slots": 4`, `"slots": 5`).Replace(goodText())))
+	It("describes what a new version changes, and warns of a reused id", func() {
+		a, _ := bundle.Parse("a", []byte(validText()))
+		b, findings := bundle.Parse("b", []byte(strings.NewReplacer("schools", "homes", `"slots": 4`, `"slots": 5`).Replace(validText())))
 		Expect(findings).To(BeEmpty())
 		diff := strings.Join(bundle.Diff(a, b), "\n")
 		Expect(diff).To(ContainSubstring("routers will refuse it"))
@@ -104,7 +104,7 @@
 	operators := []bundle.Operator{{Name: "anna", PublicKey: annaPub}, {Name: "bert", PublicKey: bertPub}, {Name: "anna2", PublicKey: annaPub}}
 
 	It("needs two different operators", func() {
-		s := &bundle.Signed{Bundle: goodText()}
+		s := &bundle.Signed{Bundle: validText()}
 		s.Sign("anna", annaKey)
 		s.Sign("anna", annaKey)
 		Expect(s.Verify(operators)).To(MatchError(ContainSubstring("needs 2")))
@@ -114,8 +114,8 @@
 		Expect(s.Verify(operators)).To(Succeed())
 	})
 
-	It("refuses a bundle that was tampered with, and strangers", func() {
-		s := &bundle.Signed{Bundle: goodText()}
+	It("refuses a modified bundle and signers that are not operators", func() {
+		s := &bundle.Signed{Bundle: validText()}
 		s.Sign("anna", annaKey)
 		s.Sign("bert", bertKey)
 		s.Bundle = strings.Replace(s.Bundle, `"share": 2`, `"share": 9`, 1)
@@ -126,7 +126,7 @@
 })
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(goodText()))
+	f.Add([]byte(validText()))
 	f.Add([]byte(`{"teams": [{"keys": [1]}]}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		b, findings := bundle.Parse("fuzz", raw)
--- a/bundle/diff.go
+++ b/bundle/diff.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Diff tells in one line each what changes from a to b.
+// Diff describes the changes from a to b, one per line.
 func Diff(a, b *Bundle) []string {
 	var out []string
 	if b.Version <= a.Version {
@@ -16,24 +16,25 @@
 	} else {
 		out = append(out, fmt.Sprintf("version: %d to %d", a.Version, b.Version))
 	}
-	out = append(out, diffItems("team", named(a.Teams, Team.key), named(b.Teams, Team.key))...)
-	out = append(out, diffItems("pool", named(a.Pools, Pool.key), named(b.Pools, Pool.key))...)
-	out = append(out, diffItems("upstream", named(a.Upstreams, Upstream.key), named(b.Upstreams, Upstream.key))...)
+	out = append(out, diffItems("team", jsonByName(a.Teams, Team.key), jsonByName(b.Teams, Team.key))...)
+	out = append(out, diffItems("pool", jsonByName(a.Pools, Pool.key), jsonByName(b.Pools, Pool.key))...)
+	out = append(out, diffItems("upstream", jsonByName(a.Upstreams, Upstream.key), jsonByName(b.Upstreams, Upstream.key))...)
 	if !slices.Equal(a.Evacuated, b.Evacuated) {
 		out = append(out, fmt.Sprintf("evacuated: [%s] to [%s]", strings.Join(a.Evacuated, " "), strings.Join(b.Evacuated, " ")))
 	}
 	if a.Limits != b.Limits {
 		out = append(out, "limits: changed")
 	}
-	return append(out, reused(a, b)...)
+	return append(out, reusedTeamIDs(a, b)...)
 }
 
 func (t Team) key() string     { return t.Name }
 func (p Pool) key() string     { return p.Name }
 func (u Upstream) key() string { return u.Name }
 
-// named renders items by name, so that any two kinds compare alike.
-func named[T any](items []T, name func(T) string) map[string]string {
+// jsonByName returns the JSON of each item by name, so that items of all types can
+// be compared in the same way.
+func jsonByName[T any](items []T, name func(T) string) map[string]string {
 	out := map[string]string{}
 	for _, item := range items {
 		data, err := json.Marshal(item)
@@ -44,26 +45,27 @@
 	return out
 }
 
-func diffItems(what string, a, b map[string]string) []string {
+func diffItems(kind string, a, b map[string]string) []string {
 	var out []string
 	for _, name := range slices.Sorted(maps.Keys(a)) {
 		switch now, ok := b[name]; {
 		case !ok:
-			out = append(out, fmt.Sprintf("%s %s: removed", what, name))
+			out = append(out, fmt.Sprintf("%s %s: removed", kind, name))
 		case now != a[name]:
-			out = append(out, fmt.Sprintf("%s %s: %s to %s", what, name, a[name], now))
+			out = append(out, fmt.Sprintf("%s %s: %s to %s", kind, name, a[name], now))
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(b)) {
 		if _, ok := a[name]; !ok {
-			out = append(out, fmt.Sprintf("%s %s: added", what, name))
+			out = append(out, fmt.Sprintf("%s %s: added", kind, name))
 		}
 	}
 	return out
 }
 
-// reused warns of ids that named something else before.
-func reused(a, b *Bundle) []string {
+// reusedTeamIDs returns a warning for each team of b whose ID belongs to a team of
+// another name in a.
+func reusedTeamIDs(a, b *Bundle) []string {
 	var out []string
 	teams := map[int]string{}
 	for _, t := range a.Teams {
--- a/bundle/key.go
+++ b/bundle/key.go
@@ -5,17 +5,17 @@
 	"encoding/hex"
 )
 
-// HashKey returns the form in which a bearer key stands in a bundle. Keys are
-// long random strings, so that a plain hash is enough.
+// HashKey returns the hash of a bearer key as stored in a bundle. Keys are long
+// random strings, so an unsalted hash is sufficient.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return keyHashPrefix + hex.EncodeToString(sum[:])
 }
 
-// Index finds teams by their keys.
+// Index maps key hashes to teams.
 type Index struct{ teams map[string]Team }
 
-// NewIndex returns the index of a bundle's keys.
+// NewIndex returns an index of the keys in b.
 func NewIndex(b *Bundle) Index {
 	x := Index{teams: map[string]Team{}}
 	for _, t := range b.Teams {
@@ -26,7 +26,7 @@
 	return x
 }
 
-// Team returns the team that a bearer key belongs to.
+// Team returns the team that a bearer key belongs to and whether there is one.
 func (x Index) Team(key string) (Team, bool) {
 	t, ok := x.teams[HashKey(key)]
 	return t, ok
--- a/bundle/rapid_test.go
+++ b/bundle/rapid_test.go
@@ -2,8 +2,8 @@
 
 import "flag"
 
-// CI must give the same verdict each time, so the properties are checked on the
-// same draws; -rapid.seed asks for others.
+// Fixes the seed of the property tests so that CI results are reproducible;
+// -rapid.seed selects another one.
 func init() {
 	_ = flag.Set("rapid.seed", "20261202")
 	_ = flag.Set("rapid.nofailfile", "true")
--- a/bundle/signed.go
+++ b/bundle/signed.go
@@ -12,63 +12,65 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("bundle")
 
-// signersNeeded is how many different operators must sign a bundle.
-const signersNeeded = 2
+// requiredSigners is the number of different operators that must sign a bundle.
+const requiredSigners = 2
 
-// signContext keeps a signature on a bundle from being one on anything else.
-const signContext = "aspenswitch bundle\n"
+// signaturePrefix is prepended to the signed text for domain separation: a signature
+// on a bundle is not valid for any other kind of data.
+const signaturePrefix = "aspenswitch bundle\n"
 
-// Signed is what the users publish: the bundle's text and its signatures.
+// Signed is the published form of a bundle: its text and signatures.
 type Signed struct {
 	Bundle     string      `json:"bundle"`
 	Signatures []Signature `json:"signatures"`
 }
 
-// Signature is one operator's.
+// Signature is an operator's Ed25519 signature.
 type Signature struct {
 	Operator  string `json:"operator"`
 	Signature []byte `json:"signature"`
 }
 
-// Operator is somebody who may sign, with the public key that routers know from
-// their settings.
+// Operator is a person who may sign bundles. Routers read operators and their
+// Ed25519 public keys from their settings.
 type Operator struct {
 	Name      string `json:"name"`
 	PublicKey []byte `json:"publicKey"`
 }
 
-// Sign adds an operator's signature, in place of an earlier one of the same.
+// Sign adds an operator's signature and replaces an earlier one of the same operator.
 func (s *Signed) Sign(operator string, key ed25519.PrivateKey) {
-	sig := Signature{Operator: operator, Signature: ed25519.Sign(key, s.message())}
+	sig := Signature{Operator: operator, Signature: ed25519.Sign(key, s.signedMessage())}
 	s.Signatures = slices.DeleteFunc(s.Signatures, func(o Signature) bool { return o.Operator == operator })
 	s.Signatures = append(s.Signatures, sig)
 }
 
-func (s *Signed) message() []byte { return []byte(signContext + s.Bundle) }
+func (s *Signed) signedMessage() []byte { return []byte(signaturePrefix + s.Bundle) }
 
-// Digest names the content of the bundle's text.
+// Digest returns the SHA-256 of the bundle's text in hex.
 func (s *Signed) Digest() string {
 	sum := sha256.Sum256([]byte(s.Bundle))
 	return hex.EncodeToString(sum[:])
 }
 
-// Verify checks that two different operators signed. Two names with one key
-// count as one operator: a person must not sign off alone.
+// Verify checks that all signatures are valid and that two different operators
+// signed. Operators are counted by public key, so that one person with two names
+// can't approve a bundle alone.
 func (s *Signed) Verify(operators []Operator) error {
 	signed := map[string]bool{}
 	for _, sig := range s.Signatures {
 		i := slices.IndexFunc(operators, func(o Operator) bool { return o.Name == sig.Operator })
 		if i < 0 {
-			return Error.New("signed by %q, who is not an operator", sig.Operator)
+			return Error.New("signed by %q, which is not a configured operator", sig.Operator)
 		}
 		key := ed25519.PublicKey(operators[i].PublicKey)
-		if len(key) != ed25519.PublicKeySize || !ed25519.Verify(key, s.message(), sig.Signature) {
+		if len(key) != ed25519.PublicKeySize || !ed25519.Verify(key, s.signedMessage(), sig.Signature) {
 			return Error.New("the signature of %q is not valid", sig.Operator)
 		}
 		signed[string(key)] = true
 	}
-	if len(signed) < signersNeeded {
-		return Error.New("signed by %d operators, needs %d different ones", len(signed), signersNeeded)
+	if len(signed) < requiredSigners {
+		return Error.New("signed by %d operators, needs %d different ones", len(signed), requiredSigners)
 	}
 	return nil
 }
