--- a/admin/server.go
+++ b/admin/server.go
@@ -11,20 +11,20 @@
 	"github.com/aspenswitch/aspenswitch/router"
 )
 
-// Server is the operators' API of one router.
+// Server serves the operators' API of one router.
 type Server struct {
 	router    *router.Router
 	tokenHash string
 	drain     func()
 }
 
-// New returns the API. tokenHash is what settings hold; drain begins a graceful
-// shutdown of the process.
+// New returns a server for r. tokenHash is the hash of the operators' token from the
+// settings; drain starts a graceful shutdown of the process without blocking.
 func New(r *router.Router, tokenHash string, drain func()) *Server {
 	return &Server{router: r, tokenHash: tokenHash, drain: drain}
 }
 
-// Handler returns the routes.
+// Handler returns the HTTP handler of the API.
 func (s *Server) Handler() http.Handler {
 	e := echo.New()
 	e.Use(s.authenticate)
@@ -38,7 +38,8 @@
 	return e
 }
 
-// authenticate compares hashes in constant time.
+// authenticate rejects requests without the operators' token. It compares hashes in
+// constant time, so that response times reveal nothing about the token.
 func (s *Server) authenticate(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		token, _ := strings.CutPrefix(c.Request().Header.Get(echo.HeaderAuthorization), "Bearer ")
@@ -50,7 +51,7 @@
 	}
 }
 
-// Status is a router's state in a line.
+// Status summarizes a router's state.
 type Status struct {
 	Name          string           `json:"name"`
 	FailureDomain string           `json:"failureDomain"`
@@ -67,18 +68,18 @@
 
 func (s *Server) status(c echo.Context) error {
 	d := s.router.Dump()
-	homes := 0
+	homeOf := 0
 	for _, p := range d.Core.Pools {
 		for _, u := range p.Upstreams {
 			if u.IsHome {
-				homes++
+				homeOf++
 			}
 		}
 	}
 	return c.JSON(http.StatusOK, Status{
 		Name: d.Name, FailureDomain: d.FailureDomain, Ready: d.Ready, Leaving: d.Core.Leaving,
 		InForce: d.InForce, Live: d.Core.Live, Waiting: d.Core.Waiting, Running: d.Core.Running,
-		HomeOf: homes, PeerBytes: d.PeerBytes, PlatformCalls: d.PlatformCalls,
+		HomeOf: homeOf, PeerBytes: d.PeerBytes, PlatformCalls: d.PlatformCalls,
 	})
 }
 
--- a/bundlefeed/client.go
+++ b/bundlefeed/client.go
@@ -17,38 +17,41 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("bundlefeed")
 
-// maxValue bounds what is read: the platform holds values up to a megabyte, and
-// the envelope of a signed bundle escapes its text.
-const maxValue = 3 << 20
+// maxResponseBytes limits the size of a response body. The platform stores values of
+// up to 1 MiB, and the JSON envelope of a signed bundle makes its text longer by
+// escaping it.
+const maxResponseBytes = 3 << 20
 
-// Client reads from the platform.
+// Client reads the bundle and the list of VMs from the platform.
 type Client struct {
-	base  string
-	http  *http.Client
-	calls atomic.Int64
+	baseURL string
+	http    *http.Client
+	calls   atomic.Int64
 }
 
-// NewClient returns a client of the service at base, such as
-// http://10.0.0.1:6000. wait bounds a waiting watch: a connection that has gone
-// silent looks like a watch with nothing to tell, and only its end shows it.
-func NewClient(base string, wait time.Duration) *Client {
-	return &Client{base: base, http: &http.Client{
+// NewClient returns a client of the service at baseURL, such as
+// http://10.0.0.1:6000. wait is the longest wait of a watch; a request times out
+// watchMargin later. A dead connection looks like a watch without changes, and only
+// this timeout detects it.
+func NewClient(baseURL string, wait time.Duration) *Client {
+	return &Client{baseURL: baseURL, http: &http.Client{
 		Transport: &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: wait},
 		Timeout:   wait + watchMargin,
 	}}
 }
 
-// watchMargin is how much longer than its own bound a watch may take.
+// watchMargin is added to the wait of a watch to get the request timeout.
 const watchMargin = 2 * time.Second
 
-// Calls is the number of calls made.
+// Calls returns the number of requests made to the platform.
 func (c *Client) Calls() int64 { return c.calls.Load() }
 
-// WatchBundle waits until the published bundle differs from the one that etag names
-// and returns it. It returns nil without an error if nothing came within wait.
+// WatchBundle waits until the ETag of the published bundle differs from etag and
+// returns the signed bundle and its new ETag. It returns nil, the old etag and no
+// error if there is no such bundle within wait.
 func (c *Client) WatchBundle(ctx context.Context, etag string, wait time.Duration) (raw []byte, newTag string, err error) {
-	q := url.Values{"after": {etag}, "wait": {wait.String()}}
-	resp, err := c.get(ctx, "/v1/bundle?"+q.Encode())
+	query := url.Values{"after": {etag}, "wait": {wait.String()}}
+	resp, err := c.get(ctx, "/v1/bundle?"+query.Encode())
 	if err != nil {
 		return nil, "", err
 	}
@@ -58,13 +61,13 @@
 		return nil, etag, nil
 	case http.StatusOK:
 	default:
-		return nil, "", Error.New("bundle: %s", resp.Status)
+		return nil, "", Error.New("reading the bundle: unexpected status %s", resp.Status)
 	}
-	raw, err = io.ReadAll(io.LimitReader(resp.Body, maxValue))
+	raw, err = io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	return raw, resp.Header.Get("ETag"), Error.Wrap(err)
 }
 
-// ListVMs reads the list of VMs.
+// ListVMs returns the platform's list of VMs.
 func (c *Client) ListVMs(ctx context.Context) ([]membership.Listed, error) {
 	resp, err := c.get(ctx, "/v1/vms")
 	if err != nil {
@@ -72,16 +75,16 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return nil, Error.New("list of VMs: %s", resp.Status)
+		return nil, Error.New("reading the list of VMs: unexpected status %s", resp.Status)
 	}
 	var list []membership.Listed
-	err = json.NewDecoder(io.LimitReader(resp.Body, maxValue)).Decode(&list)
+	err = json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(&list)
 	return list, Error.Wrap(err)
 }
 
 func (c *Client) get(ctx context.Context, path string) (*http.Response, error) {
 	c.calls.Add(1)
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+path, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.baseURL+path, nil)
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
--- a/bundlefeed/doc.go
+++ b/bundlefeed/doc.go
@@ -1,3 +1,4 @@
-// Package bundlefeed reads what the users publish: the signed bundle, by a waiting
-// watch, and the lagging list of VMs. It never writes.
+// Package bundlefeed is a read-only client of the users' configuration service. It
+// watches the signed bundle by long polling and reads the list of VMs, which may be
+// out of date.
 package bundlefeed
--- a/version/version.go
+++ b/version/version.go
@@ -1,12 +1,12 @@
-// Package version names this build.
+// Package version provides the version of this build.
 package version
 
 import "runtime/debug"
 
-// Release is the version of the source.
+// Release is the release version of the source.
 const Release = "0.1.0"
 
-// String returns the release and the revision that was built.
+// String returns the release and, if the build recorded it, the abbreviated VCS revision.
 func String() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
