--- a/ctl/bundle.go
+++ b/ctl/bundle.go
@@ -1,4 +1,4 @@
-// Package ctl holds the commands of the operators' tool.
+// Package ctl implements the commands of aspenswitchctl, the operators' tool.
 package ctl
 
 import (
@@ -22,9 +22,10 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("aspenswitchctl")
 
-// Check reports all findings of a bundle.
+// Check validates a bundle file. It prints a summary, or returns an error that lists
+// all findings.
 func Check(out io.Writer, file string) error {
-	b, err := read(file)
+	b, err := readBundle(file)
 	if err != nil {
 		return err
 	}
@@ -33,7 +34,7 @@
 	return nil
 }
 
-func read(file string) (*bundle.Bundle, error) {
+func readBundle(file string) (*bundle.Bundle, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return nil, Error.Wrap(err)
@@ -45,13 +46,13 @@
 	return b, nil
 }
 
-// Diff tells what changes from one bundle to another.
+// Diff prints the changes from one bundle file to another, one per line.
 func Diff(out io.Writer, from, to string) error {
-	a, err := read(from)
+	a, err := readBundle(from)
 	if err != nil {
 		return err
 	}
-	b, err := read(to)
+	b, err := readBundle(to)
 	if err != nil {
 		return err
 	}
@@ -61,18 +62,19 @@
 	return nil
 }
 
-// secretFileMode keeps a key file from other users.
-const secretFileMode = 0o600
+// keyFileMode makes a key file readable by its owner only.
+const keyFileMode = 0o600
 
-// Keygen makes an operator's key file and prints the public key.
+// Keygen writes a new operator's private key to file, which must not exist, and prints
+// the public key.
 func Keygen(out io.Writer, file string) error {
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	f, err := os.OpenFile(file, os.O_WRONLY|os.O_CREATE|os.O_EXCL, secretFileMode)
+	f, err := os.OpenFile(file, os.O_WRONLY|os.O_CREATE|os.O_EXCL, keyFileMode)
 	if errors.Is(err, os.ErrExist) {
-		return Error.New("%s exists: a key is never overwritten", file)
+		return Error.New("%s already exists; keys are not overwritten", file)
 	}
 	if err != nil {
 		return Error.Wrap(err)
@@ -85,8 +87,8 @@
 	return nil
 }
 
-// Sign adds an operator's signature to a bundle or to a signed file. A bundle
-// with findings is not signed.
+// Sign adds an operator's signature to a bundle or to a signed file and writes the
+// result to outFile. It refuses to sign a bundle with findings.
 func Sign(file, outFile, operator, keyFile string) error {
 	key, err := readKey(keyFile)
 	if err != nil {
@@ -118,12 +120,13 @@
 	}
 	key, err := base64.StdEncoding.DecodeString(strings.TrimSpace(string(raw)))
 	if err != nil || len(key) != ed25519.PrivateKeySize {
-		return nil, Error.New("%s is not a key file of aspenswitchctl bundle keygen", file)
+		return nil, Error.New("%s is not a key file created by aspenswitchctl bundle keygen", file)
 	}
 	return key, nil
 }
 
-// Verify checks a signed file against the operators that a router knows.
+// Verify checks the signatures of a signed file against the operators in a router's
+// settings.
 func Verify(out io.Writer, settingsFile, file string) error {
 	s, err := settings.Load(settingsFile)
 	if err != nil {
--- a/ctl/explain.go
+++ b/ctl/explain.go
@@ -11,14 +11,14 @@
 	"time"
 )
 
-// logLine is one line of a router's log.
+// logLine is a parsed line of a router's log.
 type logLine struct {
 	at     time.Time
 	fields map[string]any
 }
 
-// text returns a field as text, empty if it isn't there.
-func (l logLine) text(name string) string {
+// field returns the value of a field as text, or an empty string if it is missing.
+func (l logLine) field(name string) string {
 	value, found := l.fields[name]
 	if !found {
 		return ""
@@ -26,24 +26,26 @@
 	return fmt.Sprint(value)
 }
 
-// around is how far from a request's lines what a router learnt may explain it.
-const around = 2 * time.Second
+// contextWindow is the maximum time between a line about a request and a state change
+// that is printed as its context.
+const contextWindow = 2 * time.Second
 
-// believed are the events that change what a router takes for true.
-var believed = []string{"platform", "config", "upstream", "peer_state", "member", "home", "home_silent", "evacuation", "start", "stop", "reload", "cached"}
+// contextEvents are the events that log a change of a router's state or configuration.
+var contextEvents = []string{"platform", "config", "upstream", "peer_state", "member", "home", "home_silent", "evacuation", "start", "stop", "reload", "cached"}
 
-// Explain prints the story of a request from the log lines of all routers: its
-// own lines, and what the routers that handled it learnt around them, by time.
+// Explain prints the log lines about a request in order of time, with the state
+// changes that the routers that handled it logged around the same time. in holds the
+// log lines of all routers.
 func Explain(out io.Writer, id string, in io.Reader) error {
 	lines, err := readLog(in)
 	if err != nil {
 		return err
 	}
-	story := storyOf(id, lines)
-	if len(story) == 0 {
+	related := relatedLines(id, lines)
+	if len(related) == 0 {
 		return Error.New("no line about request %s; lines may have been left out under load (field \"omitted\")", id)
 	}
-	for _, l := range story {
+	for _, l := range related {
 		if _, err := fmt.Fprintln(out, l.String()); err != nil {
 			return Error.Wrap(err)
 		}
@@ -51,15 +53,15 @@
 	return nil
 }
 
-// maxLine is the longest line that is read.
-const maxLine = 1 << 20
+// maxLineBytes is the maximum length of a log line.
+const maxLineBytes = 1 << 20
 
-// readLog reads JSON lines. What stands before the first brace, such as the time
-// of a collector, is passed over, and so are lines of other programs.
+// readLog parses JSON log lines. It ignores text before the first brace, such as the
+// timestamp of a log collector, and skips lines of other programs.
 func readLog(in io.Reader) ([]logLine, error) {
 	var lines []logLine
 	scanner := bufio.NewScanner(in)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		text := scanner.Text()
 		start := strings.IndexByte(text, '{')
@@ -85,58 +87,59 @@
 	return lines, Error.Wrap(scanner.Err())
 }
 
-// storyOf picks the lines that concern a request.
-func storyOf(id string, lines []logLine) []logLine {
-	var own []logLine
+// relatedLines returns the lines about a request and their context, sorted by time.
+func relatedLines(id string, lines []logLine) []logLine {
+	var requestLines []logLine
 	for _, l := range lines {
-		if l.text("request") == id {
-			own = append(own, l)
+		if l.field("request") == id {
+			requestLines = append(requestLines, l)
 		}
 	}
-	if len(own) == 0 {
+	if len(requestLines) == 0 {
 		return nil
 	}
-	story := slices.Clone(own)
+	related := slices.Clone(requestLines)
 	for _, l := range lines {
-		if l.text("request") == "" && slices.Contains(believed, l.text("event")) && explains(l, own) {
-			story = append(story, l)
+		if l.field("request") == "" && slices.Contains(contextEvents, l.field("event")) && isContext(l, requestLines) {
+			related = append(related, l)
 		}
 	}
 	for _, l := range lines {
-		if l.text("event") == "quarantine" && hasContentOf(l, own) {
-			story = append(story, l)
+		if l.field("event") == "quarantine" && sameContent(l, requestLines) {
+			related = append(related, l)
 		}
 	}
-	slices.SortStableFunc(story, func(a, b logLine) int { return cmp.Compare(a.at.UnixMilli(), b.at.UnixMilli()) })
-	return story
+	slices.SortStableFunc(related, func(a, b logLine) int { return cmp.Compare(a.at.UnixMilli(), b.at.UnixMilli()) })
+	return related
 }
 
-// hasContentOf reports whether a line has the same team and content as one of the request's
-// lines.
-func hasContentOf(l logLine, own []logLine) bool {
-	return slices.ContainsFunc(own, func(o logLine) bool {
-		return o.text("content") != "" && o.text("content") == l.text("content") && o.text("team") == l.text("team")
+// sameContent reports whether a line has the same team and content as one of
+// requestLines.
+func sameContent(l logLine, requestLines []logLine) bool {
+	return slices.ContainsFunc(requestLines, func(o logLine) bool {
+		return o.field("content") != "" && o.field("content") == l.field("content") && o.field("team") == l.field("team")
 	})
 }
 
-// explains reports whether what a router learnt bears on a request's lines: it
-// was the same router, and the time is near. A line about an upstream counts
-// only if the request met that upstream.
-func explains(l logLine, own []logLine) bool {
-	for _, o := range own {
-		if o.text("process") != l.text("process") || o.at.Sub(l.at).Abs() > around+lasted(o) {
+// isContext reports whether a state change is relevant to a request: it was logged by
+// the same router within contextWindow of the request. A line about an upstream is
+// relevant only if one of the request's lines names that upstream.
+func isContext(l logLine, requestLines []logLine) bool {
+	for _, o := range requestLines {
+		if o.field("process") != l.field("process") || o.at.Sub(l.at).Abs() > contextWindow+requestDuration(o) {
 			continue
 		}
-		met := l.text("upstream")
-		if met == "" || met == o.text("upstream") || strings.Contains(o.text("cause"), met) {
+		upstream := l.field("upstream")
+		if upstream == "" || upstream == o.field("upstream") || strings.Contains(o.field("cause"), upstream) {
 			return true
 		}
 	}
 	return false
 }
 
-// lasted is how long a request took by the time of its line.
-func lasted(l logLine) time.Duration {
+// requestDuration returns the elapsed time of a request when its line was logged, or 0
+// if the line has none.
+func requestDuration(l logLine) time.Duration {
 	number, isNumber := l.fields["took_ms"].(json.Number)
 	if !isNumber {
 		return 0
@@ -148,15 +151,15 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// String returns the line for people: time, router, event, text and the rest.
+// String formats the line for display: time, router, event, message and other fields.
 func (l logLine) String() string {
-	shown := []string{"time", "process", "event", "message", "level"}
+	headerFields := []string{"time", "process", "event", "message", "level"}
 	var rest []string
 	for name, value := range l.fields {
-		if !slices.Contains(shown, name) {
+		if !slices.Contains(headerFields, name) {
 			rest = append(rest, fmt.Sprintf("%s=%v", name, value))
 		}
 	}
 	slices.Sort(rest)
-	return fmt.Sprintf("%s %s [%s] %s: %s", l.at.Format("15:04:05.000"), l.text("process"), l.text("event"), l.text("message"), strings.Join(rest, " "))
+	return fmt.Sprintf("%s %s [%s] %s: %s", l.at.Format("15:04:05.000"), l.field("process"), l.field("event"), l.field("message"), strings.Join(rest, " "))
 }
--- a/ctl/explain_team.go
+++ b/ctl/explain_team.go
@@ -11,76 +11,79 @@
 	"time"
 )
 
-// TimeRange is a part of a log. A zero end is open.
+// TimeRange selects log lines from From, inclusive, to To, exclusive. A zero time
+// leaves that end open.
 type TimeRange struct{ From, To time.Time }
 
-func (s TimeRange) holds(at time.Time) bool {
+func (s TimeRange) contains(at time.Time) bool {
 	return (s.From.IsZero() || !at.Before(s.From)) && (s.To.IsZero() || at.Before(s.To))
 }
 
-// ExplainTeam prints what a team asked for and got in each second, and by whom and why the
-// rest was refused, from the "team" lines of routers and the "share" lines of homes.
-func ExplainTeam(out io.Writer, team string, span TimeRange, in io.Reader) error {
+// ExplainTeam prints a team's requests and usage for each second, and by which component
+// and why its other requests were refused. It reads the "team" lines of routers and the
+// "share" lines of homes.
+func ExplainTeam(out io.Writer, team string, timeRange TimeRange, in io.Reader) error {
 	lines, err := readLog(in)
 	if err != nil {
 		return err
 	}
-	seconds := teamSeconds(team, span, lines)
+	seconds := teamSeconds(team, timeRange, lines)
 	if len(seconds) == 0 {
-		return Error.New("no line about team %s in this span; lines are written only while a team is refused", team)
+		return Error.New("no line about team %s in this time range; lines are logged only while requests of the team are refused", team)
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "second\tasked\tsent\tbegun\tbegun tokens\tgot in window\tshare\tmost refused\trouter")
+	fmt.Fprintln(w, "second\tasked\tsent\tbegun\tbegun tokens\tserved in window\tshare\tmain refusal\trouter")
 	for _, s := range seconds {
-		reason := s.refusals.most()
+		reason := s.refusals.mostFrequent()
 		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t%s\n", s.at.Format(time.TimeOnly), s.asked, s.sent, s.begun, s.begunTokens,
-			known(s.got), known(s.share), reason, s.router())
+			formatCount(s.served), formatCount(s.share), reason, s.busiestRouter())
 	}
 	if err := w.Flush(); err != nil {
 		return Error.Wrap(err)
 	}
-	_, err = fmt.Fprintln(out, sumUp(team, seconds))
+	_, err = fmt.Fprintln(out, summarize(team, seconds))
 	return Error.Wrap(err)
 }
 
-// teamSecond is what lines tell of a team in one second.
+// teamSecond aggregates the lines about a team in one second.
 type teamSecond struct {
 	at                 time.Time
 	asked, sent, begun int64
 	begunTokens        int64
-	// got is what the team got of the fleet within the window, by the home that believes
-	// most; share is the level there. Zero if no home told.
-	got, share int64
-	refusals   refusals
-	// askedAt is what was asked at each router.
-	askedAt map[string]int64
+	// served is the number of tokens that the fleet served to the team within the share
+	// window, as logged by the home with the highest number; share is the team's fair
+	// share in tokens at that home. Both are zero if no home logged a line.
+	served, share int64
+	refusals      refusals
+	// askedByRouter is the number of requests received by each router.
+	askedByRouter map[string]int64
 }
 
-// router is the one at which most was asked.
-func (s *teamSecond) router() string {
+// busiestRouter returns the router that received most requests.
+func (s *teamSecond) busiestRouter() string {
 	best := ""
-	for name, n := range s.askedAt {
-		if best == "" || n > s.askedAt[best] || n == s.askedAt[best] && name < best {
+	for name, n := range s.askedByRouter {
+		if best == "" || n > s.askedByRouter[best] || n == s.askedByRouter[best] && name < best {
 			best = name
 		}
 	}
 	return best
 }
 
-// refusals are numbers of requests by reason.
+// refusals counts refused requests by the field names in refusalReasons.
 type refusals map[string]int64
 
-// reasons are the fields of a "team" line, with who refused and why.
-var reasons = map[string]string{
+// refusalReasons maps the fields of a "team" line to the component that refused and why.
+var refusalReasons = map[string]string{
 	"over_share": "home: share used up",
-	"no_room":    "home: no engine in time",
-	"shed":       "router: share used up, by the home's last word",
-	"busy":       "router: behind with its work",
-	"full":       "router: holds as many as it can",
+	"no_room":    "home: no upstream available in time",
+	"shed":       "router: share used up, per the home's last report",
+	"busy":       "router: overloaded",
+	"full":       "router: request limit reached",
 }
 
-// most is the reason for which most were refused, with their number.
-func (r refusals) most() string {
+// mostFrequent returns the most frequent reason with its count, or "-" if there is none.
+func (r refusals) mostFrequent() string {
 	best := ""
 	for name, n := range r {
 		if n > 0 && (best == "" || n > r[best] || n == r[best] && name < best) {
@@ -90,30 +93,30 @@
 	if best == "" {
 		return "-"
 	}
-	return fmt.Sprintf("%d %s", r[best], reasons[best])
+	return fmt.Sprintf("%d %s", r[best], refusalReasons[best])
 }
 
-// teamSeconds sums a team's lines up by second.
-func teamSeconds(team string, span TimeRange, lines []logLine) []*teamSecond {
+// teamSeconds aggregates a team's lines by second.
+func teamSeconds(team string, timeRange TimeRange, lines []logLine) []*teamSecond {
 	byTime := map[int64]*teamSecond{}
 	for i := range lines {
 		l := &lines[i]
-		event := l.text("event")
-		if l.text("team") != team || event != "team" && event != "share" || !span.holds(l.at) {
+		event := l.field("event")
+		if l.field("team") != team || event != "team" && event != "share" || !timeRange.contains(l.at) {
 			continue
 		}
-		// A line of a second is written at its end.
+		// A line about a second is logged at its end.
 		at := l.at.Add(-time.Second / 2).Truncate(time.Second)
 		s := byTime[at.Unix()]
 		if s == nil {
-			s = &teamSecond{at: at, refusals: refusals{}, askedAt: map[string]int64{}}
+			s = &teamSecond{at: at, refusals: refusals{}, askedByRouter: map[string]int64{}}
 			byTime[at.Unix()] = s
 		}
 		if event == "team" {
-			s.addRouter(l)
+			s.addTeamLine(l)
 			continue
 		}
-		s.addHome(l)
+		s.addShareLine(l)
 	}
 	var seconds []*teamSecond
 	for _, s := range byTime {
@@ -123,24 +126,24 @@
 	return seconds
 }
 
-func (s *teamSecond) addRouter(l *logLine) {
+func (s *teamSecond) addTeamLine(l *logLine) {
 	s.asked += l.number("asked")
 	s.sent += l.number("sent")
 	s.begun += l.number("begun")
 	s.begunTokens += l.number("begun_tokens")
-	for name := range reasons {
+	for name := range refusalReasons {
 		s.refusals[name] += l.number(name)
 	}
-	s.askedAt[l.text("process")] += l.number("asked")
+	s.askedByRouter[l.field("process")] += l.number("asked")
 }
 
-func (s *teamSecond) addHome(l *logLine) {
-	if got := l.number("served_tokens") + l.number("elsewhere_tokens"); got > s.got {
-		s.got, s.share = got, l.number("share_tokens")
+func (s *teamSecond) addShareLine(l *logLine) {
+	if served := l.number("served_tokens") + l.number("elsewhere_tokens"); served > s.served {
+		s.served, s.share = served, l.number("share_tokens")
 	}
 }
 
-// number returns a field as a whole number, 0 if it is none.
+// number returns the value of a field as an integer, or 0 if it is missing or not one.
 func (l *logLine) number(name string) int64 {
 	number, isNumber := l.fields[name].(json.Number)
 	if !isNumber {
@@ -153,29 +156,29 @@
 	return n
 }
 
-func known(n int64) string {
+func formatCount(n int64) string {
 	if n == 0 {
 		return "-"
 	}
 	return fmt.Sprint(n)
 }
 
-// sumUp tells the whole span in a sentence.
-func sumUp(team string, seconds []*teamSecond) string {
+// summarize returns the totals of all seconds as one sentence.
+func summarize(team string, seconds []*teamSecond) string {
 	all := refusals{}
-	var asked, sent, begun, within int64
+	var asked, sent, begun, refusedBelowShare int64
 	for _, s := range seconds {
 		asked += s.asked
 		sent += s.sent
 		begun += s.begunTokens
-		if s.share > 0 && s.got < s.share && s.refusals["shed"]+s.refusals["busy"]+s.refusals["full"] > 0 {
-			within++
+		if s.share > 0 && s.served < s.share && s.refusals["shed"]+s.refusals["busy"]+s.refusals["full"] > 0 {
+			refusedBelowShare++
 		}
 		for name, n := range s.refusals {
 			all[name] += n
 		}
 	}
-	var by []string
+	var parts []string
 	for _, name := range slices.Sorted(func(yield func(string) bool) {
 		for name := range all {
 			if !yield(name) {
@@ -184,9 +187,9 @@
 		}
 	}) {
 		if all[name] > 0 {
-			by = append(by, fmt.Sprintf("%d %s", all[name], reasons[name]))
+			parts = append(parts, fmt.Sprintf("%d %s", all[name], refusalReasons[name]))
 		}
 	}
-	return fmt.Sprintf("%s: %d asked, %d sent, %d tokens begun; refused: %s; in %d of %d seconds a router refused by itself while the team was below its share",
-		team, asked, sent, begun, cmp.Or(strings.Join(by, ", "), "none"), within, len(seconds))
+	return fmt.Sprintf("%s: %d asked, %d sent, %d tokens begun; refused: %s; in %d of %d seconds a router refused requests on its own while the team was below its share",
+		team, asked, sent, begun, cmp.Or(strings.Join(parts, ", "), "none"), refusedBelowShare, len(seconds))
 }
--- a/ctl/fleet.go
+++ b/ctl/fleet.go
@@ -12,57 +12,57 @@
 	"github.com/aspenswitch/aspenswitch/admin"
 )
 
-// Client asks routers' operators' APIs.
+// Client queries the operators' APIs of routers.
 type Client struct {
-	admins []string
-	token  string
-	http   *http.Client
+	baseURLs []string
+	token    string
+	http     *http.Client
 }
 
-// requestTimeout bounds the wait for one router.
+// requestTimeout limits each HTTP request to a router.
 const requestTimeout = 5 * time.Second
 
-// NewClient returns a client of the routers at the base URLs.
-func NewClient(admins []string, token string) *Client {
-	return &Client{admins: admins, token: token, http: &http.Client{Timeout: requestTimeout}}
+// NewClient returns a client of the routers at baseURLs.
+func NewClient(baseURLs []string, token string) *Client {
+	return &Client{baseURLs: baseURLs, token: token, http: &http.Client{Timeout: requestTimeout}}
 }
 
-// Status prints the state of the fleet; routers that don't answer are told too. platform
-// is set for routers on the users' platform.
+// Status prints the state of the fleet, including routers that don't answer, and returns
+// an error if there are any. platform is set for routers on the users' platform.
 func (c *Client) Status(out io.Writer, platform bool, format Format) error {
 	routers := c.statuses(platform)
 	o := newOverview(routers)
 	if err := o.print(out, format); err != nil {
 		return err
 	}
-	return missing(o.missing(), len(routers))
+	return unansweredError(o.unanswered(), len(routers))
 }
 
-// statuses queries all routers and returns their statuses in the order of c.admins. A failed
+// statuses queries all routers and returns their statuses in the order of c.baseURLs. A failed
 // query is reported in the Error field.
 func (c *Client) statuses(platform bool) []RouterStatus {
-	ask := c.ownStatus
+	query := c.adminStatus
 	if platform {
-		ask = c.platformStatus
+		query = c.platformStatus
 	}
 	var routers []RouterStatus
-	for _, a := range gather(c.admins, ask) {
-		if a.err != nil {
-			a.value = RouterStatus{Router: a.base, Error: a.err.Error()}
+	for _, result := range queryAll(c.baseURLs, query) {
+		if result.err != nil {
+			result.value = RouterStatus{Router: result.base, Error: result.err.Error()}
 		}
-		routers = append(routers, a.value)
+		routers = append(routers, result.value)
 	}
 	return routers
 }
 
-func missing(n, of int) error {
-	if n == 0 {
+func unansweredError(unanswered, total int) error {
+	if unanswered == 0 {
 		return nil
 	}
-	return Error.New("%d of %d routers did not answer", n, of)
+	return Error.New("%d of %d routers did not answer", unanswered, total)
 }
 
-func (c *Client) ownStatus(base string) (RouterStatus, error) {
+func (c *Client) adminStatus(base string) (RouterStatus, error) {
 	var s admin.Status
 	if err := c.get(base, "/status", &s); err != nil {
 		return RouterStatus{}, err
@@ -93,34 +93,35 @@
 	return "not ready"
 }
 
-// dumpResult is the state of one router, or why there is none.
+// dumpResult is the state of one router, or the error of querying it.
 type dumpResult struct {
 	Router string          `json:"router"`
 	State  json.RawMessage `json:"state,omitempty"`
 	Error  string          `json:"error,omitempty"`
 }
 
-// Dump prints the whole state of each router as JSON; those that don't answer are told.
+// Dump prints the whole state of each router as JSON, with an error for each router that
+// doesn't answer.
 func (c *Client) Dump(out io.Writer) error {
 	var results []dumpResult
 	failed := 0
-	for _, a := range gather(c.admins, func(base string) (one json.RawMessage, err error) { return one, c.get(base, "/dump", &one) }) {
-		r := dumpResult{Router: a.base, State: a.value}
-		if a.err != nil {
+	for _, result := range queryAll(c.baseURLs, func(base string) (one json.RawMessage, err error) { return one, c.get(base, "/dump", &one) }) {
+		r := dumpResult{Router: result.base, State: result.value}
+		if result.err != nil {
 			failed++
-			r = dumpResult{Router: a.base, Error: a.err.Error()}
+			r = dumpResult{Router: result.base, Error: result.err.Error()}
 		}
 		results = append(results, r)
 	}
 	if err := printJSON(out, results); err != nil {
 		return err
 	}
-	return missing(failed, len(results))
+	return unansweredError(failed, len(results))
 }
 
-// Drain begins a graceful shutdown of each router.
+// Drain starts a graceful shutdown of each router. It stops at the first error.
 func (c *Client) Drain(out io.Writer) error {
-	for _, base := range c.admins {
+	for _, base := range c.baseURLs {
 		resp, err := c.do(http.MethodPost, base+"/drain")
 		if err != nil {
 			return err
@@ -134,10 +135,10 @@
 // Release ends the quarantine of a team's content at all routers. It tries the routers in
 // order until one succeeds, which notifies the others.
 func (c *Client) Release(out io.Writer, team, content string) error {
-	query := url.Values{"team": {team}, "content": {content}}
+	params := url.Values{"team": {team}, "content": {content}}
 	var lastErr error
-	for _, base := range c.admins {
-		resp, err := c.do(http.MethodPost, base+"/quarantine/release?"+query.Encode())
+	for _, base := range c.baseURLs {
+		resp, err := c.do(http.MethodPost, base+"/quarantine/release?"+params.Encode())
 		if err != nil {
 			lastErr = err
 			continue
@@ -174,7 +175,7 @@
 	if resp.StatusCode >= http.StatusBadRequest {
 		defer func() { _ = resp.Body.Close() }()
 		body, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBody)) // a read error must not hide the status
-		return nil, Error.New("%s", strings.TrimSpace(fmt.Sprintf("%s answered %s %s", url, resp.Status, body)))
+		return nil, Error.New("%s", strings.TrimSpace(fmt.Sprintf("%s returned %s %s", url, resp.Status, body)))
 	}
 	return resp, nil
 }
--- a/ctl/gather.go
+++ b/ctl/gather.go
@@ -2,30 +2,32 @@
 
 import "sync"
 
-// atOnce bounds the routers that are asked at the same time: a fleet of hundreds answers
-// within a second or two, and the operator's machine keeps few connections.
-const atOnce = 32
+// maxConcurrentQueries limits the number of routers queried at the same time. A fleet of
+// hundreds still answers within a second or two, and the operator's machine opens few
+// connections.
+const maxConcurrentQueries = 32
 
-// answer is what one router said.
-type answer[T any] struct {
+// queryResult is the result of querying the router at a base URL.
+type queryResult[T any] struct {
 	base  string
 	value T
 	err   error
 }
 
-// gather asks all routers, some at a time, and returns their answers in the routers' order.
-func gather[T any](bases []string, ask func(base string) (T, error)) []answer[T] {
-	answers := make([]answer[T], len(bases))
-	places := make(chan struct{}, atOnce)
-	var all sync.WaitGroup
+// queryAll queries all routers, at most maxConcurrentQueries at a time, and returns the
+// results in the order of bases.
+func queryAll[T any](bases []string, query func(base string) (T, error)) []queryResult[T] {
+	results := make([]queryResult[T], len(bases))
+	slots := make(chan struct{}, maxConcurrentQueries)
+	var wg sync.WaitGroup
 	for i, base := range bases {
-		places <- struct{}{}
-		all.Go(func() {
-			defer func() { <-places }()
-			value, err := ask(base)
-			answers[i] = answer[T]{base: base, value: value, err: err}
+		slots <- struct{}{}
+		wg.Go(func() {
+			defer func() { <-slots }()
+			value, err := query(base)
+			results[i] = queryResult[T]{base: base, value: value, err: err}
 		})
 	}
-	all.Wait()
-	return answers
+	wg.Wait()
+	return results
 }
--- a/ctl/overview.go
+++ b/ctl/overview.go
@@ -8,47 +8,47 @@
 	"time"
 )
 
-// RouterStatus is one router's state in a line.
+// RouterStatus summarizes the state of one router.
 type RouterStatus struct {
 	Router        string `json:"router"`
 	FailureDomain string `json:"failureDomain"`
-	// Role is what it does for others.
+	// Role is the router's role in the fleet.
 	Role Role `json:"role"`
-	// State is ready, not ready or leaving; empty if it didn't answer.
+	// State is "ready", "not ready" or "leaving", or empty if the router didn't answer.
 	State string `json:"state"`
-	// Version of the configuration in force.
+	// Version is the version of the configuration in force.
 	Version string `json:"version"`
-	// Peers are the routers that it hears, itself not counted.
+	// Peers is the number of other routers that the router lists as members.
 	Peers   int `json:"peers"`
 	Waiting int `json:"waiting"`
 	Running int `json:"running"`
-	// ViewAge is how long ago the configuration was confirmed.
+	// ViewAge is the time since the configuration was last confirmed.
 	ViewAge time.Duration `json:"viewAgeNanos"`
-	// Evacuated are the failure domains that it takes for evacuated; Warming is the number of
-	// upstreams that are warming up in the groups for which it decides.
+	// Evacuated lists the failure domains that are evacuated in the router's configuration.
+	// Warming is the number of upstreams that are warming up in the groups whose home it is.
 	Evacuated []string `json:"evacuated,omitempty"`
 	Warming   int      `json:"warming"`
-	// Error is why it didn't answer, empty if it did.
+	// Error is the error of querying the router, empty if it answered.
 	Error string `json:"error,omitempty"`
 }
 
-// Role is what a router does for others.
+// Role is the role of a router in the fleet.
 type Role string
 
 // Roles of routers.
 const (
-	// RoleHub is one of those that others hear often, and that decide for upstreams.
+	// RoleHub exchanges heartbeats with the others often and decides for groups of upstreams.
 	RoleHub Role = "hub"
-	// RoleReader reads the platform for its failure domain.
+	// RoleReader reads the platform on behalf of its failure domain.
 	RoleReader Role = "reader"
-	// RoleRouter takes callers' requests only.
+	// RoleRouter only serves callers' requests.
 	RoleRouter Role = "router"
 )
 
-// Overview is the state of a fleet.
+// Overview summarizes the state of a fleet.
 type Overview struct {
-	// Evacuated are the failure domains that most routers take for evacuated, Warming the
-	// upstreams that are warming up.
+	// Evacuated lists the failure domains that most routers report as evacuated. Warming is
+	// the number of upstreams that are warming up.
 	Evacuated []string       `json:"evacuated"`
 	Warming   int            `json:"warming"`
 	Summary   []Summary      `json:"summary"`
@@ -56,7 +56,7 @@
 	Routers   []RouterStatus `json:"routers"`
 }
 
-// Summary counts the routers of a failure domain that have the same role.
+// Summary aggregates the routers of a failure domain that have the same role.
 type Summary struct {
 	FailureDomain string `json:"failureDomain"`
 	Role          Role   `json:"role"`
@@ -66,33 +66,34 @@
 	Running       int    `json:"running"`
 }
 
-// Outlier is a router that differs from the others.
+// Outlier is a router that differs from the others, with the reasons.
 type Outlier struct {
 	RouterStatus
 	Reasons []string `json:"reasons"`
 }
 
 const (
-	// fewPeers is the part of the usual number of peers below which a router counts as cut
-	// off from others.
-	fewPeers = 0.9
-	// oldView is the age of a configuration that peers renew several times a second.
-	oldView = time.Second
-	// manyWaiting is how many times the mean a router must have waiting to be told, and
-	// leastWaiting the number below which it isn't.
-	manyWaiting, leastWaiting = 5, 20
+	// minPeerRatio is the fraction of the median number of peers below which a router counts
+	// as cut off from others.
+	minPeerRatio = 0.9
+	// maxViewAge is the age above which a configuration counts as outdated. Peers confirm it
+	// several times a second.
+	maxViewAge = time.Second
+	// A router is an outlier if its waiting requests exceed waitingOutlierFactor times the
+	// mean and are at least minOutlierWaiting.
+	waitingOutlierFactor, minOutlierWaiting = 5, 20
 )
 
-// newOverview sums up routers' states.
+// newOverview aggregates the states of routers.
 func newOverview(routers []RouterStatus) Overview {
-	o := Overview{Routers: routers, Evacuated: usualEvacuated(routers)}
-	version, peers, waiting := usual(routers)
+	o := Overview{Routers: routers, Evacuated: mostCommonEvacuated(routers)}
+	version, peers, waiting := typicalValues(routers)
 	sums := map[[2]string]*Summary{}
 	for _, r := range routers {
 		o.Warming += r.Warming
-		reasons := r.differs(version, peers, waiting)
+		reasons := r.outlierReasons(version, peers, waiting)
 		if r.Error == "" && !slices.Equal(r.Evacuated, o.Evacuated) {
-			reasons = append(reasons, fmt.Sprintf("takes [%s] for evacuated where most take [%s]", strings.Join(r.Evacuated, " "), strings.Join(o.Evacuated, " ")))
+			reasons = append(reasons, fmt.Sprintf("reports [%s] as evacuated, most routers report [%s]", strings.Join(r.Evacuated, " "), strings.Join(o.Evacuated, " ")))
 		}
 		if len(reasons) > 0 {
 			o.Outliers = append(o.Outliers, Outlier{RouterStatus: r, Reasons: reasons})
@@ -127,20 +128,20 @@
 	s.Running += r.Running
 }
 
-// usual returns the version that most routers have, the median of their peers and the mean
-// of their waiting requests.
-func usual(routers []RouterStatus) (version string, peers int, waiting float64) {
+// typicalValues returns the most common version, the median number of peers and the mean
+// number of waiting requests of the routers that answered.
+func typicalValues(routers []RouterStatus) (version string, peers int, waiting float64) {
 	versions := map[string]int{}
-	var heard []int
+	var peerCounts []int
 	for _, r := range routers {
 		if r.Error != "" {
 			continue
 		}
 		versions[r.Version]++
-		heard = append(heard, r.Peers)
+		peerCounts = append(peerCounts, r.Peers)
 		waiting += float64(r.Waiting)
 	}
-	if len(heard) == 0 {
+	if len(peerCounts) == 0 {
 		return "", 0, 0
 	}
 	for v, n := range versions {
@@ -148,50 +149,50 @@
 			version = v
 		}
 	}
-	slices.Sort(heard)
-	return version, heard[len(heard)/2], waiting / float64(len(heard))
+	slices.Sort(peerCounts)
+	return version, peerCounts[len(peerCounts)/2], waiting / float64(len(peerCounts))
 }
 
-// usualEvacuated returns the failure domains that most routers take for evacuated.
-func usualEvacuated(routers []RouterStatus) []string {
+// mostCommonEvacuated returns the most common list of evacuated failure domains.
+func mostCommonEvacuated(routers []RouterStatus) []string {
 	votes := map[string]int{}
-	usual, answered := "", 0
+	mostCommon, answered := "", 0
 	for _, r := range routers {
 		if r.Error != "" {
 			continue
 		}
 		answered++
 		list := strings.Join(r.Evacuated, "\n")
-		if votes[list]++; votes[list] > votes[usual] {
-			usual = list
+		if votes[list]++; votes[list] > votes[mostCommon] {
+			mostCommon = list
 		}
 	}
-	if answered == 0 || usual == "" {
+	if answered == 0 || mostCommon == "" {
 		return nil
 	}
-	return strings.Split(usual, "\n")
+	return strings.Split(mostCommon, "\n")
 }
 
-// differs tells in what a router differs from the others.
-func (r *RouterStatus) differs(version string, peers int, waiting float64) (reasons []string) {
-	note := func(is bool, format string, args ...any) {
-		if is {
+// outlierReasons returns the differences between a router and the typical values.
+func (r *RouterStatus) outlierReasons(version string, peers int, waiting float64) (reasons []string) {
+	addIf := func(condition bool, format string, args ...any) {
+		if condition {
 			reasons = append(reasons, fmt.Sprintf(format, args...))
 		}
 	}
 	if r.Error != "" {
 		return []string{"no answer: " + r.Error}
 	}
-	note(r.State != stateReady, "%s", r.State)
-	note(r.Version != version, "version %s where most have %s", r.Version, version)
-	note(float64(r.Peers) < fewPeers*float64(peers), "hears %d peers where others hear %d", r.Peers, peers)
-	note(r.ViewAge > oldView, "configuration confirmed %s ago", r.ViewAge)
-	note(r.Waiting >= leastWaiting && float64(r.Waiting) > manyWaiting*waiting, "%d requests wait, %.1f in the mean", r.Waiting, waiting)
+	addIf(r.State != stateReady, "%s", r.State)
+	addIf(r.Version != version, "version %s, most routers have %s", r.Version, version)
+	addIf(float64(r.Peers) < minPeerRatio*float64(peers), "has %d peers, the median is %d", r.Peers, peers)
+	addIf(r.ViewAge > maxViewAge, "configuration confirmed %s ago", r.ViewAge)
+	addIf(r.Waiting >= minOutlierWaiting && float64(r.Waiting) > waitingOutlierFactor*waiting, "%d requests waiting, the mean is %.1f", r.Waiting, waiting)
 	return reasons
 }
 
-// missing is the number of routers that didn't answer.
-func (o *Overview) missing() int {
+// unanswered returns the number of routers that didn't answer.
+func (o *Overview) unanswered() int {
 	n := 0
 	for _, r := range o.Routers {
 		if r.Error != "" {
--- a/ctl/print.go
+++ b/ctl/print.go
@@ -8,17 +8,17 @@
 	"text/tabwriter"
 )
 
-// Format is how results are printed.
+// Format is the output format of results.
 type Format string
 
-// Formats.
+// Output formats.
 const (
 	Table Format = "table"
 	JSON  Format = "json"
 )
 
-// mostRows is the number of routers up to which a table has a row for each.
-const mostRows = 24
+// maxTableRows is the maximum number of routers for which a table has a row for each.
+const maxTableRows = 24
 
 func printJSON(out io.Writer, v any) error {
 	enc := json.NewEncoder(out)
@@ -26,13 +26,13 @@
 	return Error.Wrap(enc.Encode(v))
 }
 
-// print writes the overview: routers that differ first, then sums, then each router if
-// they are few.
+// print writes the overview: first the outliers, then the summary, then each router if
+// there are at most maxTableRows.
 func (o *Overview) print(out io.Writer, format Format) error {
 	if format == JSON {
 		return printJSON(out, o)
 	}
-	fmt.Fprintf(out, "%d routers, %d without an answer, %d differ\n", len(o.Routers), o.missing(), len(o.Outliers))
+	fmt.Fprintf(out, "%d routers, %d without an answer, %d differ\n", len(o.Routers), o.unanswered(), len(o.Outliers))
 	if len(o.Evacuated) > 0 {
 		fmt.Fprintf(out, "evacuated failure domains: %s\n", strings.Join(o.Evacuated, ", "))
 	}
@@ -50,7 +50,7 @@
 	for _, s := range o.Summary {
 		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\n", s.FailureDomain, s.Role, s.Routers, s.Ready, s.Waiting, s.Running)
 	}
-	if len(o.Routers) <= mostRows {
+	if len(o.Routers) <= maxTableRows {
 		fmt.Fprintln(w, "\nrouter\tdomain\trole\tstate\tversion\tpeers\twaiting\trunning")
 		for _, r := range o.Routers {
 			if r.Error == "" {
