--- a/cmd/aspenswitch-load/main.go
+++ b/cmd/aspenswitch-load/main.go
@@ -1,4 +1,4 @@
-// Command aspenswitch-load is a fleet's callers and the experiment tool.
+// Command aspenswitch-load generates load for a fleet and runs benchmarks and simulations.
 package main
 
 import (
@@ -20,31 +20,31 @@
 )
 
 func main() {
-	app := kingpin.New("aspenswitch-load", "Callers and experiments; loopback only.")
+	app := kingpin.New("aspenswitch-load", "Load generator, benchmarks and simulations; loopback only.")
 	app.Version(version.String())
-	run := app.Command("run", "Send a plan's load, check every answer, print a table.")
+	run := app.Command("run", "Send the load of a plan, check every response and print a table.")
 	plan := run.Arg("plan", "Plan file, JSON with comments.").Required().ExistingFile()
 	out := run.Flag("out", "File for the report as JSON.").String()
-	bench := app.Command("bench", "Measure the scheduler core against its rivals, seeded, in virtual time.")
-	quick := bench.Flag("quick", "Fewer seeds, shorter loads.").Bool()
-	bounds := bench.Flag("bounds", "Regression bounds; a figure beyond its bound fails.").ExistingFile()
-	dir := bench.Flag("out", "Folder for results.").Default("out").String()
-	over := app.Command("overhead", "Measure what one router adds to a stream, on loopback.")
-	size := overhead.Config{}
-	over.Flag("streams", "Streams to send each way.").Default("20000").IntVar(&size.Streams)
-	over.Flag("callers", "Streams at once.").Default("4").IntVar(&size.Callers)
-	over.Flag("tokens", "Events of each stream.").Default("16").IntVar(&size.Tokens)
-	table := app.Command("lab", "Play days over a model of the engines under the real placing and its rivals.")
-	sheet := table.Flag("sheet", "Deployment to play, JSON with comments; lab/sheets has examples.").Default("lab/sheets/midlands.json").ExistingFile()
-	seed := table.Flag("seed", "Seed of the load.").Default("1").Uint64()
+	bench := app.Command("bench", "Compare the scheduler core with alternative designs in a seeded simulation in virtual time.")
+	quick := bench.Flag("quick", "Use fewer seeds and shorter loads.").Bool()
+	bounds := bench.Flag("bounds", "File with regression bounds; the command fails if a figure exceeds its bound.").ExistingFile()
+	dir := bench.Flag("out", "Directory for results.").Default("out").String()
+	overheadCmd := app.Command("overhead", "Measure the overhead of one router on a stream, on loopback.")
+	overheadCfg := overhead.Config{}
+	overheadCmd.Flag("streams", "Streams to send directly and through the router, each.").Default("20000").IntVar(&overheadCfg.Streams)
+	overheadCmd.Flag("callers", "Concurrent streams.").Default("4").IntVar(&overheadCfg.Callers)
+	overheadCmd.Flag("tokens", "Events in each stream.").Default("16").IntVar(&overheadCfg.Tokens)
+	labCmd := app.Command("lab", "Simulate daily load on a model of the engines with the real placement and alternative policies.")
+	sheet := labCmd.Flag("sheet", "Deployment to simulate, JSON with comments; lab/sheets has examples.").Default("lab/sheets/midlands.json").ExistingFile()
+	seed := labCmd.Flag("seed", "Seed of the load.").Default("1").Uint64()
 	switch kingpin.MustParse(app.Parse(os.Args[1:])) {
 	case run.FullCommand():
 		app.FatalIfError(runPlan(*plan, *out), "")
-	case over.FullCommand():
-		r, err := overhead.Measure(size)
+	case overheadCmd.FullCommand():
+		r, err := overhead.Measure(overheadCfg)
 		app.FatalIfError(err, "")
 		r.Print(os.Stdout)
-	case table.FullCommand():
+	case labCmd.FullCommand():
 		app.FatalIfError(runLab(*sheet, *seed), "lab")
 	case bench.FullCommand():
 		app.FatalIfError(runBench(*quick, *bounds, *dir), "bench")
@@ -60,9 +60,9 @@
 }
 
 func runBench(quick bool, boundsFile, dir string) error {
-	all := experiment.Suite(quick)
-	experiment.Print(os.Stdout, all)
-	if err := writeBench(dir, all); err != nil {
+	comparisons := experiment.Suite(quick)
+	experiment.Print(os.Stdout, comparisons)
+	if err := writeBench(dir, comparisons); err != nil {
 		return err
 	}
 	if boundsFile == "" {
@@ -72,28 +72,28 @@
 	if err != nil {
 		return err
 	}
-	beyond, err := bounds.Beyond(all)
+	exceeded, err := bounds.Beyond(comparisons)
 	if err != nil {
 		return err
 	}
-	if len(beyond) > 0 {
-		return fmt.Errorf("%d figures beyond their bounds:\n%s", len(beyond), strings.Join(beyond, "\n"))
+	if len(exceeded) > 0 {
+		return fmt.Errorf("%d figures exceed their bounds:\n%s", len(exceeded), strings.Join(exceeded, "\n"))
 	}
 	return nil
 }
 
-func writeBench(dir string, all []experiment.Comparison) error {
+func writeBench(dir string, comparisons []experiment.Comparison) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	data, err := json.MarshalIndent(all, "", "  ")
+	data, err := json.MarshalIndent(comparisons, "", "  ")
 	if err != nil {
 		return err
 	}
 	if err := os.WriteFile(filepath.Join(dir, "bench.json"), append(data, '\n'), 0o644); err != nil {
 		return err
 	}
-	for _, c := range all {
+	for _, c := range comparisons {
 		var plot bytes.Buffer
 		c.Plot(&plot)
 		if err := os.WriteFile(filepath.Join(dir, c.Load+".svg"), plot.Bytes(), 0o644); err != nil {
--- a/cmd/aspenswitch-soak/main.go
+++ b/cmd/aspenswitch-soak/main.go
@@ -1,5 +1,5 @@
-// Command aspenswitch-soak plays seeded faults against router processes on
-// loopback and checks what callers and upstreams saw.
+// Command aspenswitch-soak injects seeded faults into router processes on loopback
+// and checks the results recorded by callers and upstreams.
 package main
 
 import (
@@ -17,34 +17,35 @@
 
 func main() {
 	cfg := soak.DefaultConfig()
-	app := kingpin.New("aspenswitch-soak", "Seeded faults against router processes; loopback only.")
+	app := kingpin.New("aspenswitch-soak", "Fault injection into router processes with seeded plans; loopback only.")
 	app.Version(version.String())
-	app.Flag("daemon", "Program of a router.").Default("bin/aspenswitchd").StringVar(&cfg.Daemon)
-	app.Flag("duration", "How long faults come.").Default(cfg.Duration.String()).DurationVar(&cfg.Duration)
-	app.Flag("routers", "Router processes of a run.").Default(fmt.Sprint(cfg.Routers)).IntVar(&cfg.Routers)
-	app.Flag("callers", "Callers of a run.").Default(fmt.Sprint(cfg.Callers)).IntVar(&cfg.Callers)
-	app.Flag("faults", "Mean number of faults a second.").Default(fmt.Sprint(cfg.Faults)).Float64Var(&cfg.Faults)
+	app.Flag("daemon", "Path of the router program.").Default("bin/aspenswitchd").StringVar(&cfg.Daemon)
+	app.Flag("duration", "Duration of fault injection.").Default(cfg.Duration.String()).DurationVar(&cfg.Duration)
+	app.Flag("routers", "Router processes per run.").Default(fmt.Sprint(cfg.Routers)).IntVar(&cfg.Routers)
+	app.Flag("callers", "Callers per run.").Default(fmt.Sprint(cfg.Callers)).IntVar(&cfg.Callers)
+	app.Flag("faults", "Mean number of faults per second.").Default(fmt.Sprint(cfg.Faults)).Float64Var(&cfg.Faults)
 	first := app.Flag("first", "First seed.").Default("1").Uint64()
 	seeds := app.Flag("seeds", "Number of seeds.").Default("1").Uint64()
-	known := app.Flag("regressions", "File of seeds that once failed, to be played instead.").ExistingFile()
-	jobs := app.Flag("jobs", "Runs at once.").Default("2").Int()
-	out := app.Flag("out", "Folder for logs and histories of runs that failed.").Default("out/soak").String()
+	regressions := app.Flag("regressions", "File of seeds that failed before; they are run instead of the range.").ExistingFile()
+	jobs := app.Flag("jobs", "Concurrent runs.").Default("2").Int()
+	out := app.Flag("out", "Directory for logs and histories of failed runs.").Default("out/soak").String()
 	kingpin.MustParse(app.Parse(os.Args[1:]))
-	all, err := configs(cfg, *known, *first, *seeds)
+	all, err := runConfigs(cfg, *regressions, *first, *seeds)
 	app.FatalIfError(err, "")
-	failed, err := play(all, *jobs, *out)
+	failed, err := runAll(all, *jobs, *out)
 	app.FatalIfError(err, "")
-	fmt.Printf("%d of %d seeds broke a promise\n", failed, len(all))
+	fmt.Printf("%d of %d seeds had violations\n", failed, len(all))
 	if failed > 0 {
 		os.Exit(1)
 	}
 }
 
-// configs are the runs to play: the seeds that once failed, or a range.
-func configs(base soak.Config, known string, first, seeds uint64) ([]soak.Config, error) {
+// runConfigs returns one configuration per run: for the seeds in the regressions file if
+// it is set, else for a range of seeds.
+func runConfigs(base soak.Config, regressions string, first, seeds uint64) ([]soak.Config, error) {
 	var all []soak.Config
-	if known != "" {
-		list, err := soak.LoadRegressions(known)
+	if regressions != "" {
+		list, err := soak.LoadRegressions(regressions)
 		for _, r := range list {
 			all = append(all, r.Config(base))
 		}
@@ -57,18 +58,19 @@
 	return all, nil
 }
 
-// play plays the runs, a few at once, and returns how many failed.
-func play(all []soak.Config, jobs int, out string) (failed int, err error) {
+// runAll executes the runs, at most jobs at a time, and returns the number of runs with
+// violations.
+func runAll(all []soak.Config, jobs int, out string) (failed int, err error) {
 	next := make(chan soak.Config)
-	var runs sync.WaitGroup
+	var wg sync.WaitGroup
 	var mu sync.Mutex
 	for slot := range jobs {
-		runs.Go(func() {
-			for one := range next {
-				one.Slot = slot
-				bad, runErr := playOne(one, out)
+		wg.Go(func() {
+			for runCfg := range next {
+				runCfg.Slot = slot
+				violated, runErr := runSeed(runCfg, out)
 				mu.Lock()
-				if bad {
+				if violated {
 					failed++
 				}
 				if runErr != nil {
@@ -82,12 +84,13 @@
 		next <- cfg
 	}
 	close(next)
-	runs.Wait()
+	wg.Wait()
 	return failed, err
 }
 
-// playOne runs a seed; logs and history stay only if it failed.
-func playOne(cfg soak.Config, out string) (failed bool, err error) {
+// runSeed executes one run. It keeps the logs and the history only if there were
+// violations.
+func runSeed(cfg soak.Config, out string) (failed bool, err error) {
 	cfg.Dir = filepath.Join(out, fmt.Sprint("seed-", cfg.Seed))
 	if err := os.MkdirAll(cfg.Dir, 0o700); err != nil {
 		return false, err
@@ -96,12 +99,12 @@
 	if err != nil {
 		return false, err
 	}
-	fmt.Printf("seed %d: %d faults, %d of %d served, %d promises broken\n", cfg.Seed, len(r.Plan), r.Served, r.Asked, len(r.Violations))
+	fmt.Printf("seed %d: %d faults, %d of %d served, %d violations\n", cfg.Seed, len(r.Plan), r.Served, r.Asked, len(r.Violations))
 	if len(r.Violations) == 0 {
 		return false, os.RemoveAll(cfg.Dir)
 	}
 	for i, v := range r.Violations {
-		if i == maxShown {
+		if i == maxPrintedViolations {
 			fmt.Printf("  and %d more\n", len(r.Violations)-i)
 			break
 		}
@@ -114,5 +117,5 @@
 	return true, os.WriteFile(filepath.Join(cfg.Dir, "history.json"), raw, 0o600)
 }
 
-// maxShown is how many broken promises of a run are printed.
-const maxShown = 12
+// maxPrintedViolations limits the violations printed for a run.
+const maxPrintedViolations = 12
--- a/cmd/aspenswitch-standin/main.go
+++ b/cmd/aspenswitch-standin/main.go
@@ -1,5 +1,5 @@
-// Command aspenswitch-standin runs one small fake: a platform, an engine or a
-// plain service.
+// Command aspenswitch-standin runs a fake platform, model engine or plain service for
+// tests and demos.
 package main
 
 import (
@@ -17,22 +17,22 @@
 )
 
 func main() {
-	app := kingpin.New("aspenswitch-standin", "Small fakes of what aspenswitch meets.")
+	app := kingpin.New("aspenswitch-standin", "Fake platform, engine and service for tests and demos.")
 	app.Version(version.String())
 	listen := app.Flag("listen", "IP address and port.").Default("127.0.0.1:0").String()
-	platform := app.Command("platform", "A configuration service that can be read and watched.")
+	platform := app.Command("platform", "Run a configuration service that can be read and watched.")
 	bundle := platform.Flag("bundle", "File with the signed bundle to publish.").String()
 	vms := platform.Flag("vms", "File with the list of VMs.").String()
-	engine := app.Command("engine", "A model engine.")
+	engine := app.Command("engine", "Run a model engine.")
 	cfg := standin.EngineConfig{}
-	engine.Flag("slots", "Requests served at once.").Default("8").IntVar(&cfg.Slots)
+	engine.Flag("slots", "Concurrent requests.").Default("8").IntVar(&cfg.Slots)
 	engine.Flag("first-token", "Time to the first token.").Default("20ms").DurationVar(&cfg.FirstToken)
-	engine.Flag("per-token", "Time for each token.").Default("5ms").DurationVar(&cfg.PerToken)
-	engine.Flag("cached-prompts", "Prompt starts in the prefix cache.").Default("32").IntVar(&cfg.CachedPrompts)
+	engine.Flag("per-token", "Time per token.").Default("5ms").DurationVar(&cfg.PerToken)
+	engine.Flag("cached-prompts", "Capacity of the prefix cache in prompt prefixes.").Default("32").IntVar(&cfg.CachedPrompts)
 	engine.Flag("report-lag", "Age of load reports.").Default("200ms").DurationVar(&cfg.ReportLag)
-	engine.Flag("break-after", "Cut each stream after so many events; 0 never.").IntVar(&cfg.BreakAfter)
-	service := app.Command("service", "A plain service that counts its runs by key.")
-	takes := service.Flag("takes", "How long a run takes.").Default("10ms").Duration()
+	engine.Flag("break-after", "Close the connection of each stream after this number of events; 0 disables it.").IntVar(&cfg.BreakAfter)
+	service := app.Command("service", "Run a plain service that counts its runs by key.")
+	runDuration := service.Flag("takes", "Duration of a run.").Default("10ms").Duration()
 	var handler http.Handler
 	switch kingpin.MustParse(app.Parse(os.Args[1:])) {
 	case platform.FullCommand():
@@ -43,13 +43,13 @@
 	case engine.FullCommand():
 		handler = standin.NewEngine(cfg).Handler()
 	case service.FullCommand():
-		handler = standin.NewService(*takes).Handler()
+		handler = standin.NewService(*runDuration).Handler()
 	}
 	app.FatalIfError(serve(*listen, handler), "")
 }
 
-// publish hands a file's content to the platform, if a file is named.
-func publish(file string, to func([]byte)) error {
+// publish passes the content of a file to set. It does nothing if file is empty.
+func publish(file string, set func([]byte)) error {
 	if file == "" {
 		return nil
 	}
@@ -57,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	to(raw)
+	set(raw)
 	return nil
 }
 
--- a/cmd/aspenswitchctl/main.go
+++ b/cmd/aspenswitchctl/main.go
@@ -1,4 +1,4 @@
-// Command aspenswitchctl is the operators' tool.
+// Command aspenswitchctl is the operators' tool of an aspenswitch fleet.
 package main
 
 import (
@@ -15,14 +15,14 @@
 )
 
 func main() {
-	app := kingpin.New("aspenswitchctl", "Operators' tool of the aspenswitch fleet.")
+	app := kingpin.New("aspenswitchctl", "Operators' tool of an aspenswitch fleet.")
 	app.Version(version.String())
 	commands := map[string]func() error{}
 	add := func(c *kingpin.CmdClause, run func() error) { commands[c.FullCommand()] = run }
 	addBundle(app, add)
 	addFleet(app, add)
 	addExplain(app, add)
-	hash := app.Command("hash-key", "Print the hash of a bearer key or token, as files hold it.")
+	hash := app.Command("hash-key", "Print the hash of a bearer key or token as stored in bundles and settings.")
 	key := hash.Arg("key", "The key.").Required().String()
 	add(hash, func() error {
 		fmt.Println(bundle.HashKey(*key))
@@ -32,43 +32,43 @@
 	app.FatalIfError(commands[name](), "%s", name)
 }
 
-type adder func(*kingpin.CmdClause, func() error)
+type addCommand func(*kingpin.CmdClause, func() error)
 
-func addBundle(app *kingpin.Application, add adder) {
-	b := app.Command("bundle", "Prepare and sign off bundle versions.")
+func addBundle(app *kingpin.Application, add addCommand) {
+	b := app.Command("bundle", "Prepare, sign and verify bundle versions.")
 
 	check := b.Command("check", "Report all findings with line and column.")
 	checkFile := check.Arg("file", "Bundle.").Required().ExistingFile()
 	add(check, func() error { return ctl.Check(os.Stdout, *checkFile) })
 
-	diff := b.Command("diff", "Tell what changes from one bundle to another.")
+	diff := b.Command("diff", "Print the changes from one bundle to another.")
 	from := diff.Arg("from", "Bundle in force.").Required().ExistingFile()
 	to := diff.Arg("to", "Bundle to roll out.").Required().ExistingFile()
 	add(diff, func() error { return ctl.Diff(os.Stdout, *from, *to) })
 
-	keygen := b.Command("keygen", "Make an operator's key file and print the public key.")
-	keygenFile := keygen.Arg("file", "Key file to make; keep it secret.").Required().String()
+	keygen := b.Command("keygen", "Create an operator's key file and print the public key.")
+	keygenFile := keygen.Arg("file", "Key file to create; keep it secret.").Required().String()
 	add(keygen, func() error { return ctl.Keygen(os.Stdout, *keygenFile) })
 
 	sign := b.Command("sign", "Add an operator's signature.")
 	operator := sign.Flag("operator", "Operator's name.").Required().String()
 	keyFile := sign.Flag("key", "Operator's key file.").Required().ExistingFile()
-	signFile := sign.Arg("file", "Bundle, or a signed file of another operator.").Required().ExistingFile()
+	signFile := sign.Arg("file", "Bundle, or a file signed by another operator.").Required().ExistingFile()
 	signOut := sign.Arg("out", "Signed file.").Required().String()
 	add(sign, func() error { return ctl.Sign(*signFile, *signOut, *operator, *keyFile) })
 
-	verify := b.Command("verify", "Check that two different operators signed.")
-	verifySettings := verify.Flag("settings", "A router's settings, which name the operators.").Required().ExistingFile()
+	verify := b.Command("verify", "Check that two different operators signed a bundle.")
+	verifySettings := verify.Flag("settings", "Settings file of a router, which lists the operators.").Required().ExistingFile()
 	verifyFile := verify.Arg("file", "Signed file.").Required().ExistingFile()
 	add(verify, func() error { return ctl.Verify(os.Stdout, *verifySettings, *verifyFile) })
 }
 
-func addFleet(app *kingpin.Application, add adder) {
-	fleet := app.Command("fleet", "Ask running routers.")
-	admins := fleet.Flag("admin", "Base URL of a router's operators' API; may stand several times.").Required().Strings()
-	token := fleet.Flag("token", "Operators' token; routers on the platform need none.").Envar("ASPENSWITCH_TOKEN").String()
+func addFleet(app *kingpin.Application, add addCommand) {
+	fleet := app.Command("fleet", "Query and control running routers.")
+	admins := fleet.Flag("admin", "Base URL of a router's operators' API; can be repeated.").Required().Strings()
+	token := fleet.Flag("token", "Operators' token; not needed for routers on the platform.").Envar("ASPENSWITCH_TOKEN").String()
 	platform := fleet.Flag("platform", "The URLs are control listeners of routers on the users' platform.").Bool()
-	discover := fleet.Flag("discover", "Ask all routers that these hear, too (with --platform).").Bool()
+	discover := fleet.Flag("discover", "Also query all routers listed as members by one of these (with --platform).").Bool()
 	client := func() (*ctl.Client, error) {
 		c := ctl.NewClient(*admins, *token)
 		if !*discover {
@@ -77,8 +77,8 @@
 		return c, c.Discover()
 	}
 
-	status := fleet.Command("status", "Sum up the fleet: routers that differ, then counts by failure domain and role.")
-	format := status.Flag("output", "table or json.").Default(string(ctl.Table)).Enum(string(ctl.Table), string(ctl.JSON))
+	status := fleet.Command("status", "Summarize the fleet: routers that differ, then counts by failure domain and role.")
+	format := status.Flag("output", "Output format: table or json.").Default(string(ctl.Table)).Enum(string(ctl.Table), string(ctl.JSON))
 	add(status, withClient(client, func(c *ctl.Client) error { return c.Status(os.Stdout, *platform, ctl.Format(*format)) }))
 	wait := fleet.Command("wait", "Wait until enough routers are ready; on timeout, list those that are not ready and why.")
 	ready := wait.Flag("ready", "Minimum number of ready routers.").Required().Int()
@@ -90,7 +90,7 @@
 	team := release.Flag("team", "Team that sends the requests.").Required().String()
 	content := release.Arg("content", "Hash of the content, as shown in logs and dumps.").Required().String()
 	add(release, withClient(client, func(c *ctl.Client) error { return c.Release(os.Stdout, *team, *content) }))
-	drain := fleet.Command("drain", "Begin a graceful shutdown of each router named.")
+	drain := fleet.Command("drain", "Start a graceful shutdown of each given router.")
 	add(drain, func() error { return ctl.NewClient(*admins, *token).Drain(os.Stdout) })
 }
 
@@ -104,49 +104,49 @@
 	}
 }
 
-func addExplain(app *kingpin.Application, add adder) {
-	request := app.Command("explain", "Tell the story of one request from the routers' logs.")
+func addExplain(app *kingpin.Application, add addCommand) {
+	request := app.Command("explain", "Print the log lines about one request and related state changes, from the routers' logs.")
 	id := request.Arg("id", "The request's id.").Required().String()
-	files := request.Arg("logs", "Files of log lines; standard input if none is named.").ExistingFiles()
+	files := request.Arg("logs", "Log files; default is standard input.").ExistingFiles()
 	add(request, func() error {
 		return withLogs(*files, func(in io.Reader) error { return ctl.Explain(os.Stdout, *id, in) })
 	})
 
-	team := app.Command("explain-team", "Tell second by second what a team asked for and got, and who refused the rest.")
+	team := app.Command("explain-team", "Print a team's requests, usage and refusals for each second, from the routers' logs.")
 	name := team.Arg("team", "The team's name.").Required().String()
-	from := team.Flag("from", "First moment, as 2006-01-02T15:04:05Z.").String()
-	to := team.Flag("to", "Last moment, as 2006-01-02T15:04:05Z.").String()
-	teamFiles := team.Arg("logs", "Files of log lines; standard input if none is named.").ExistingFiles()
+	from := team.Flag("from", "Start of the time range, inclusive, as 2006-01-02T15:04:05Z.").String()
+	to := team.Flag("to", "End of the time range, exclusive, as 2006-01-02T15:04:05Z.").String()
+	teamFiles := team.Arg("logs", "Log files; default is standard input.").ExistingFiles()
 	add(team, func() error {
-		span, err := parseSpan(*from, *to)
+		timeRange, err := parseTimeRange(*from, *to)
 		if err != nil {
 			return err
 		}
-		return withLogs(*teamFiles, func(in io.Reader) error { return ctl.ExplainTeam(os.Stdout, *name, span, in) })
+		return withLogs(*teamFiles, func(in io.Reader) error { return ctl.ExplainTeam(os.Stdout, *name, timeRange, in) })
 	})
 }
 
-// parseSpan reads the ends of a span; an empty one is open.
-func parseSpan(from, to string) (span ctl.TimeRange, err error) {
+// parseTimeRange parses the ends of a time range. An empty end is left open.
+func parseTimeRange(from, to string) (timeRange ctl.TimeRange, err error) {
 	for _, end := range []struct {
 		flag, text string
-		into       *time.Time
-	}{{"--from", from, &span.From}, {"--to", to, &span.To}} {
+		dest       *time.Time
+	}{{"--from", from, &timeRange.From}, {"--to", to, &timeRange.To}} {
 		if end.text == "" {
 			continue
 		}
-		if *end.into, err = time.Parse(time.RFC3339Nano, end.text); err != nil {
-			return span, fmt.Errorf("%s: %w", end.flag, err)
+		if *end.dest, err = time.Parse(time.RFC3339Nano, end.text); err != nil {
+			return timeRange, fmt.Errorf("%s: %w", end.flag, err)
 		}
 	}
-	return span, nil
+	return timeRange, nil
 }
 
-// withLogs reads the files one after the other, or standard input; the lines' times order
-// them.
-func withLogs(files []string, do func(io.Reader) error) error {
+// withLogs calls fn with the concatenated files, or with standard input if there are
+// none. The order of the files doesn't matter, because lines are sorted by their times.
+func withLogs(files []string, fn func(io.Reader) error) error {
 	if len(files) == 0 {
-		return do(os.Stdin)
+		return fn(os.Stdin)
 	}
 	var readers []io.Reader
 	for _, name := range files {
@@ -157,5 +157,5 @@
 		defer func() { _ = f.Close() }()
 		readers = append(readers, f)
 	}
-	return do(io.MultiReader(readers...))
+	return fn(io.MultiReader(readers...))
 }
--- a/cmd/aspenswitchd/fleet.go
+++ b/cmd/aspenswitchd/fleet.go
@@ -11,8 +11,9 @@
 	"github.com/aspenswitch/aspenswitch/startup"
 )
 
-// serveFleet serves until SIGTERM, then lets answers end. A second SIGTERM
-// changes nothing: the platform ends a process that takes too long.
+// serveFleet serves until SIGTERM or SIGINT, then drains: running responses may end.
+// SIGHUP reloads the settings. Further stop signals have no effect, because the platform
+// kills a process that takes too long to stop.
 func serveFleet(file string, s settings.Fleet) error {
 	out := obs.NewAsync(os.Stdout)
 	log := obs.NewLog(out, s.LogLevel, s.Name)
--- a/cmd/aspenswitchd/main.go
+++ b/cmd/aspenswitchd/main.go
@@ -13,29 +13,30 @@
 )
 
 func main() {
-	app := kingpin.New("aspenswitchd", "Router of the aspenswitch fleet.")
+	app := kingpin.New("aspenswitchd", "Router of an aspenswitch fleet.")
 	app.Version(version.String())
-	file := app.Flag("settings", "File of settings, JSON with comments.").Short('s').
+	file := app.Flag("settings", "Settings file, JSON with comments.").Short('s').
 		Envar("ASPENSWITCH_SETTINGS").Default("aspenswitch.json").String()
-	check := app.Flag("check", "Check the settings, print all findings, and end.").Bool()
+	check := app.Flag("check", "Check the settings, print all findings and exit.").Bool()
 	serve := app.Command("serve", "Serve the product's own API with signed bundles.").Default()
-	example := serve.Flag("print-defaults", "Print a settings file with comments, and end.").Bool()
-	onPlatform := app.Command("platform", "Serve on a platform that publishes configuration and upstreams.")
+	example := serve.Flag("print-defaults", "Print a settings file with comments and exit.").Bool()
+	platform := app.Command("platform", "Serve on a platform that publishes configuration and upstreams.")
 	command := kingpin.MustParse(app.Parse(os.Args[1:]))
 	var err error
 	switch {
-	case command == onPlatform.FullCommand():
+	case command == platform.FullCommand():
 		err = runFleet(*file, *check)
 	case *example:
 		fmt.Print(settings.Example)
 	default:
-		err = runOwn(*file, *check)
+		err = runServe(*file, *check)
 	}
 	app.FatalIfError(err, "")
 }
 
-// runOwn serves the product's own API until a signal.
-func runOwn(file string, check bool) error {
+// runServe loads the settings and serves the product's own API until a signal. With
+// check it only validates the settings.
+func runServe(file string, check bool) error {
 	s, err := settings.Load(file)
 	if err != nil {
 		return err
@@ -44,10 +45,11 @@
 		fmt.Println("no findings")
 		return nil
 	}
-	return serveOwn(context.Background(), s)
+	return serveBundles(context.Background(), s)
 }
 
-// runFleet serves on the platform until a signal.
+// runFleet loads the settings and serves on the platform until a signal. With check it
+// only validates the settings.
 func runFleet(file string, check bool) error {
 	s, err := settings.LoadFleet(file)
 	if err != nil {
--- a/cmd/aspenswitchd/own.go
+++ b/cmd/aspenswitchd/serve.go
@@ -11,9 +11,9 @@
 	"github.com/aspenswitch/aspenswitch/startup"
 )
 
-// serveOwn serves until a signal. The first SIGTERM or SIGINT drains, a second
-// ends.
-func serveOwn(ctx context.Context, s settings.Settings) error {
+// serveBundles runs a router that is configured by signed bundles. The first SIGTERM or
+// SIGINT drains it, the second ends it immediately.
+func serveBundles(ctx context.Context, s settings.Settings) error {
 	log := obs.NewLog(os.Stderr, s.LogLevel, s.Name)
 	d, err := daemon.New(s, log, nil)
 	if err != nil {
@@ -22,18 +22,18 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
-		awaitStop()
+		waitForStopSignal()
 		d.Drain()
-		awaitStop()
-		log.Error().Msg("second signal: ending at once")
+		waitForStopSignal()
+		log.Error().Msg("received a second stop signal; exiting without draining")
 		cancel()
 	}()
 	return d.Run(ctx)
 }
 
-// awaitStop waits for a signal to stop. There is nothing to reload: certificates
-// are read again by themselves, and the rest is in bundles.
-func awaitStop() {
+// waitForStopSignal blocks until SIGTERM or SIGINT. It ignores SIGHUP: certificates are
+// reloaded automatically, and other configuration is in bundles.
+func waitForStopSignal() {
 	for sig := range startup.Signals() {
 		if sig != syscall.SIGHUP {
 			return
--- a/cmd/aspenswitchd/signal_test.go
+++ b/cmd/aspenswitchd/signal_test.go
@@ -11,10 +11,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// The platform says that the settings have changed while a process is only just
-// starting and still reads them. The signal's default is to end the process: the VM
-// would be out of service for a start more. The process must take it as what it is,
-// and here end with its findings about the settings.
+// Guards against SIGHUP ending a process that is still reading its settings at startup.
+// The platform sends it when settings change, and its default action ends the process,
+// which costs the VM another start. Here the process must exit with its findings.
 func TestReloadSignalDuringTheStartEndsNothing(t *testing.T) {
 	g := NewWithT(t)
 	dir := t.TempDir()
@@ -25,7 +24,7 @@
 	cmd := exec.Command(program, "platform", "--settings", pipe)
 	g.Expect(cmd.Start()).To(Succeed())
 
-	// The pipe opens once the process has opened it for reading.
+	// Opening the pipe blocks until the process has opened it for reading.
 	settings, err := os.OpenFile(pipe, os.O_WRONLY, 0)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(cmd.Process.Signal(syscall.SIGHUP)).To(Succeed())
