--- a/cmd/aspenswitch-standin/main.go
+++ b/cmd/aspenswitch-standin/main.go
@@ -26,11 +26,11 @@
 	engine := app.Command("engine", "A model engine.")
 	cfg := standin.EngineConfig{}
 	engine.Flag("slots", "Requests served at once.").Default("8").IntVar(&cfg.Slots)
-	engine.Flag("first-token", "Time to the first token.").Default("20ms").DurationVar(&cfg.FirstToken)
-	engine.Flag("per-token", "Time for each token.").Default("5ms").DurationVar(&cfg.PerToken)
-	engine.Flag("cached-prompts", "Prompt starts in the prefix cache.").Default("32").IntVar(&cfg.CachedPrompts)
+	engine.Flag("first-token", "Time to the first token.").Default("20ms").DurationVar(&cfg.TimeToFirstToken)
+	engine.Flag("per-token", "Time for each token.").Default("5ms").DurationVar(&cfg.TimePerToken)
+	engine.Flag("cached-prompts", "Prompt starts in the prefix cache.").Default("32").IntVar(&cfg.CachedPrefixes)
 	engine.Flag("report-lag", "Age of load reports.").Default("200ms").DurationVar(&cfg.ReportLag)
-	engine.Flag("break-after", "Cut each stream after so many events; 0 never.").IntVar(&cfg.BreakAfter)
+	engine.Flag("break-after", "Cut each stream after so many events; 0 never.").IntVar(&cfg.DisconnectAfterEvents)
 	service := app.Command("service", "A plain service that counts its runs by key.")
 	takes := service.Flag("takes", "How long a run takes.").Default("10ms").Duration()
 	var handler http.Handler
--- a/cmd/aspenswitchd/fleet.go
+++ b/cmd/aspenswitchd/fleet.go
@@ -16,7 +16,7 @@
 func serveFleet(file string, s settings.Fleet) error {
 	out := obs.NewAsyncWriter(os.Stdout)
 	log := obs.NewLog(out, s.LogLevel, s.Name)
-	d, err := daemon.NewFleet(s, log)
+	d, err := daemon.NewFleetDaemon(s, log)
 	if err != nil {
 		return err
 	}
--- a/daemon/callers_test.go
+++ b/daemon/callers_test.go
@@ -15,7 +15,7 @@
 	"github.com/aspenswitch/aspenswitch/standin"
 )
 
-var fast = standin.EngineConfig{Slots: 4, FirstToken: time.Millisecond, PerToken: time.Millisecond, CachedPrompts: 8}
+var fast = standin.EngineConfig{Slots: 4, TimeToFirstToken: time.Millisecond, TimePerToken: time.Millisecond, CachedPrefixes: 8}
 
 var _ = Describe("the callers' API", func() {
 	It("serves the published client library of the API", func() {
@@ -90,14 +90,14 @@
 		got = f.routers[0].call(http.MethodPost, "/services/booking/a%2Fb?x=1&y=2", "vans-key", "body", map[string]string{"X-Request-Id": "mine"})
 		Expect(got.status).To(Equal(http.StatusCreated))
 		Expect(got.header.Get("X-Request-Id")).To(Equal("mine"))
-		var b standin.Booking
+		var b standin.ServiceResponse
 		Expect(json.Unmarshal([]byte(got.body), &b)).To(Succeed())
-		Expect(b).To(Equal(standin.Booking{Run: 1, Method: "POST", Path: "/a/b", Query: "x=1&y=2", Body: "body"}))
+		Expect(b).To(Equal(standin.ServiceResponse{Run: 1, Method: "POST", Path: "/a/b", Query: "x=1&y=2", Body: "body"}))
 	})
 
 	It("keeps a caller's deadline", func() {
 		f := newFleet()
-		f.engine(standin.EngineConfig{Slots: 1, FirstToken: time.Minute}, true)
+		f.engine(standin.EngineConfig{Slots: 1, TimeToFirstToken: time.Minute}, true)
 		f.start(1)
 		go f.routers[0].plan("long", 1, true)
 		Eventually(func() int { return f.routers[0].dump().Scheduler.Running }, patience).Should(Equal(1))
--- a/daemon/collect.go
+++ b/daemon/collect.go
@@ -14,7 +14,7 @@
 
 // paceCollector lets the heap grow further while the processor is short. The memory
 // limit bounds it: near the limit the collector works as hard as it must.
-func (d *Fleet) paceCollector(ctx context.Context) {
+func (d *FleetDaemon) paceCollector(ctx context.Context) {
 	ticker := time.NewTicker(paceEvery)
 	defer ticker.Stop()
 	var pace gcpace.Pacer
--- a/daemon/failures_test.go
+++ b/daemon/failures_test.go
@@ -24,7 +24,7 @@
 	It("comes without a doubled or missing token over broken connections", func() {
 		f := newFleet()
 		cfg := fast
-		cfg.BreakAfter = 3
+		cfg.DisconnectAfterEvents = 3
 		f.engine(cfg, true)
 		f.start(1)
 		got := f.routers[0].plan("a round", 10, true)
@@ -39,7 +39,7 @@
 	It("ends with an error event where the engine can't resume", func() {
 		f := newFleet()
 		cfg := fast
-		cfg.BreakAfter = 3
+		cfg.DisconnectAfterEvents = 3
 		f.engine(cfg, false)
 		f.start(1)
 		got := f.routers[0].plan("a round", 10, true)
@@ -56,7 +56,7 @@
 	It("comes whole when the engine's connection goes silent", func() {
 		f := newFleet()
 		f.tune = func(c *router.Config) { c.Upstream.IdleTimeout = 300 * time.Millisecond }
-		e := standin.NewEngine(standin.EngineConfig{Slots: 4, PerToken: 20 * time.Millisecond})
+		e := standin.NewEngine(standin.EngineConfig{Slots: 4, TimePerToken: 20 * time.Millisecond})
 		r := newRelay(serve(e.Handler()))
 		f.upstream(bundle.Upstream{Kind: bundle.Engine, Pool: "planning", Resumable: true, Slots: 4, Address: r.address()})
 		f.start(1)
@@ -92,7 +92,7 @@
 	// slot is free for the next request at once.
 	It("is cancelled at the engine when the caller leaves", func() {
 		f := newFleet()
-		f.engine(standin.EngineConfig{Slots: 1, PerToken: time.Hour}, true)
+		f.engine(standin.EngineConfig{Slots: 1, TimePerToken: time.Hour}, true)
 		f.start(1)
 		client := &http.Client{Timeout: 300 * time.Millisecond}
 		req, err := http.NewRequest(http.MethodPost, f.routers[0].url+"/v1/completions", jsonBody(`{"model":"planner","prompt":"x","stream":true}`))
@@ -128,7 +128,7 @@
 	It("is not told, and nothing is sent again, when the answer is lost", func() {
 		f := newFleet()
 		s := f.service(0)
-		s.CloseAfterRun = 2
+		s.DisconnectAfterRuns = 2
 		f.start(1)
 		Expect(f.routers[0].book(newKey()).status).To(Equal(http.StatusCreated))
 		key := newKey()
--- a/daemon/fleet.go
+++ b/daemon/fleet.go
@@ -24,9 +24,9 @@
 	"github.com/aspenswitch/aspenswitch/upstream"
 )
 
-// Fleet is a router process on a platform that publishes configuration and
+// FleetDaemon is a router process on a platform that publishes configuration and
 // upstreams.
-type Fleet struct {
+type FleetDaemon struct {
 	settings  settings.Fleet
 	log       zerolog.Logger
 	metrics   *obs.Metrics
@@ -39,12 +39,12 @@
 
 type fleetListeners struct{ callers, readiness, control, metrics net.Listener }
 
-// NewFleet opens the listeners. Run serves.
-func NewFleet(s settings.Fleet, log zerolog.Logger) (*Fleet, error) {
+// NewFleetDaemon opens the listeners. Run serves.
+func NewFleetDaemon(s settings.Fleet, log zerolog.Logger) (*FleetDaemon, error) {
 	// The limit makes the collector work harder before the process is killed
 	// for its memory; a quarter is left for what it doesn't count.
 	debug.SetMemoryLimit(int64(s.MemoryMB) << 20 * 3 / 4)
-	d := &Fleet{settings: s, log: log, metrics: obs.NewMetrics("aspenswitch"), pool: upstream.NewPool(upstream.DefaultPoolConfig())}
+	d := &FleetDaemon{settings: s, log: log, metrics: obs.NewMetrics("aspenswitch"), pool: upstream.NewPool(upstream.DefaultPoolConfig())}
 	if err := d.open(); err != nil {
 		return nil, err
 	}
@@ -100,7 +100,7 @@
 	}}
 }
 
-func (d *Fleet) open() error {
+func (d *FleetDaemon) open() error {
 	ip, _, err := net.SplitHostPort(d.settings.Control)
 	if err != nil {
 		return Error.Wrap(err)
@@ -126,13 +126,13 @@
 }
 
 // CallersAddress is where callers are heard, for settings with port 0.
-func (d *Fleet) CallersAddress() string { return d.listeners.callers.Addr().String() }
+func (d *FleetDaemon) CallersAddress() string { return d.listeners.callers.Addr().String() }
 
 // ControlAddress returns the address of the control listener, for settings with port 0.
-func (d *Fleet) ControlAddress() string { return d.listeners.control.Addr().String() }
+func (d *FleetDaemon) ControlAddress() string { return d.listeners.control.Addr().String() }
 
 // Run serves until ctx ends or Drain's grace is over.
-func (d *Fleet) Run(ctx context.Context) error {
+func (d *FleetDaemon) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go d.node.Run(ctx)
@@ -149,7 +149,7 @@
 }
 
 // side serves one of the small listeners; it ends with the process.
-func (d *Fleet) side(l net.Listener, h http.Handler) {
+func (d *FleetDaemon) side(l net.Listener, h http.Handler) {
 	server := &http.Server{Handler: h, ReadHeaderTimeout: sideTimeout, IdleTimeout: sideIdle}
 	if err := server.Serve(l); err != nil {
 		d.log.Error().Str("event", "listener").Stringer("address", l.Addr()).Err(err).Msg("listener ended")
@@ -164,7 +164,7 @@
 	sweepEvery = 300 * time.Millisecond
 )
 
-func (d *Fleet) sweep(ctx context.Context) {
+func (d *FleetDaemon) sweep(ctx context.Context) {
 	ticker := time.NewTicker(sweepEvery)
 	defer ticker.Stop()
 	for {
@@ -179,11 +179,11 @@
 
 // Ready reports whether the balancer should send connections here: not while
 // stopping, and not while this router's view is too old to serve.
-func (d *Fleet) Ready() bool {
+func (d *FleetDaemon) Ready() bool {
 	return !d.gateway.Stopping() && d.feed.Snapshot() != nil && d.feed.Fresh()
 }
 
-func (d *Fleet) readiness() http.Handler {
+func (d *FleetDaemon) readiness() http.Handler {
 	e := quietEcho()
 	e.GET(platform.ReadyPath, func(c echo.Context) error {
 		if !d.Ready() {
@@ -195,7 +195,7 @@
 }
 
 // control serves operators.
-func (d *Fleet) control() http.Handler {
+func (d *FleetDaemon) control() http.Handler {
 	e := quietEcho()
 	e.GET("/dump", func(c echo.Context) error { return c.JSON(http.StatusOK, d.dump()) })
 	e.GET("/metrics", echo.WrapHandler(d.metrics.Handler))
@@ -204,7 +204,7 @@
 }
 
 // release handles requests to end the quarantine of a team's content at all routers.
-func (d *Fleet) release(c echo.Context) error {
+func (d *FleetDaemon) release(c echo.Context) error {
 	id, err := quarantine.ParseContentID(c.QueryParam("team"), c.QueryParam("content"))
 	if err != nil {
 		return echo.NewHTTPError(http.StatusBadRequest, err.Error())
@@ -227,7 +227,7 @@
 	Node          fleet.Dump `json:"node"`
 }
 
-func (d *Fleet) dump() fleetDump {
+func (d *FleetDaemon) dump() fleetDump {
 	return fleetDump{
 		Ready: d.Ready(), Stopping: d.gateway.Stopping(), ConfigVersion: d.feed.Snapshot().ConfigVersion(),
 		PlatformCalls: d.feed.Calls(), Connections: d.pool.Dials(), Datagrams: d.node.Datagrams(), Node: d.node.Dump(),
@@ -244,7 +244,7 @@
 const stopMargin = 400 * time.Millisecond
 
 // Drain ends the process without cutting answers, within the grace.
-func (d *Fleet) Drain() {
+func (d *FleetDaemon) Drain() {
 	grace := d.settings.Bounds.TerminationGracePeriod() - stopMargin
 	ctx, cancel := context.WithTimeout(context.Background(), grace)
 	defer cancel()
--- a/daemon/fleet_test.go
+++ b/daemon/fleet_test.go
@@ -315,7 +315,7 @@
 	Expect(err).NotTo(HaveOccurred())
 	var all strings.Builder
 	for i := range tokens {
-		all.WriteString(standin.Token(quoted, i))
+		all.WriteString(standin.OutputToken(quoted, i))
 	}
 	return all.String()
 }
--- a/daemon/load.go
+++ b/daemon/load.go
@@ -15,7 +15,7 @@
 const loadEvery = 2 * time.Second
 
 // tellLoad writes what callers asked for and what it cost, while they ask.
-func (d *Fleet) tellLoad(ctx context.Context) {
+func (d *FleetDaemon) tellLoad(ctx context.Context) {
 	ticker := time.NewTicker(loadEvery)
 	defer ticker.Stop()
 	var last gateway.Load
--- a/daemon/reload.go
+++ b/daemon/reload.go
@@ -16,7 +16,7 @@
 
 // WatchSettings reloads the settings whenever the file changes. It never
 // returns.
-func (d *Fleet) WatchSettings(file string) {
+func (d *FleetDaemon) WatchSettings(file string) {
 	last := modified(file)
 	for range time.Tick(lookEvery) {
 		if at := modified(file); at != last {
@@ -39,7 +39,7 @@
 // Reload reads the settings again and applies what can change in a running
 // process: the seeds and the log level. Requests and connections go on. A file
 // with findings changes nothing.
-func (d *Fleet) Reload(file string) {
+func (d *FleetDaemon) Reload(file string) {
 	s, err := settings.LoadFleet(file)
 	if err != nil {
 		d.log.Error().Str("event", "reload").Err(err).Msg("settings not changed")
--- a/daemon/rollout_test.go
+++ b/daemon/rollout_test.go
@@ -99,7 +99,7 @@
 	// upstream goes: the stream ends whole.
 	It("cuts no running request when it changes", func() {
 		f := newFleet()
-		f.engine(standin.EngineConfig{Slots: 2, PerToken: 20 * time.Millisecond}, true)
+		f.engine(standin.EngineConfig{Slots: 2, TimePerToken: 20 * time.Millisecond}, true)
 		f.start(2)
 		got := make(chan answer, 1)
 		go func() { got <- f.routers[0].plan("long", 40, true) }()
@@ -119,8 +119,8 @@
 	// callers go to whichever is ready. No stream is cut and none is lost.
 	It("cuts nothing in a rolling restart under load", func() {
 		f := newFleet()
-		f.engine(standin.EngineConfig{Slots: 8, PerToken: 10 * time.Millisecond}, true)
-		f.engine(standin.EngineConfig{Slots: 8, PerToken: 10 * time.Millisecond}, true)
+		f.engine(standin.EngineConfig{Slots: 8, TimePerToken: 10 * time.Millisecond}, true)
+		f.engine(standin.EngineConfig{Slots: 8, TimePerToken: 10 * time.Millisecond}, true)
 		f.start(3)
 		var mu sync.Mutex
 		current := append([]*member{}, f.routers...)
--- a/daemon/teams.go
+++ b/daemon/teams.go
@@ -25,7 +25,7 @@
 // tellTeams writes what became of the requests of teams that are refused, and counts it.
 // A flood ends within seconds: without these lines nobody could tell afterwards whether
 // a team was refused by its share at a home, or by a router that was at its end.
-func (d *Fleet) tellTeams(ctx context.Context) {
+func (d *FleetDaemon) tellTeams(ctx context.Context) {
 	ticker := time.NewTicker(teamsEvery)
 	defer ticker.Stop()
 	counters := teamCounters{scope: d.metrics.Scope, teams: map[string]*teamCounter{}}
--- a/load/attempt.go
+++ b/load/attempt.go
@@ -169,7 +169,7 @@
 }
 
 func (c *caller) booking(a attempt, resp *http.Response, n uint64, began time.Time) (attempt, bool) {
-	var b standin.Booking
+	var b standin.ServiceResponse
 	if err := json.NewDecoder(resp.Body).Decode(&b); err != nil {
 		return a, true
 	}
@@ -190,7 +190,7 @@
 	}
 	var text strings.Builder
 	for i := range c.team.Tokens {
-		text.WriteString(standin.Token(quoted, i))
+		text.WriteString(standin.OutputToken(quoted, i))
 	}
 	return text.String()
 }
--- a/overhead/overhead.go
+++ b/overhead/overhead.go
@@ -66,7 +66,7 @@
 const teamKey = "overhead"
 
 func newWorld(slots int) (*world, error) {
-	engine := standin.NewEngine(standin.EngineConfig{Slots: slots, CachedPrompts: 1})
+	engine := standin.NewEngine(standin.EngineConfig{Slots: slots, CachedPrefixes: 1})
 	engineAddr, stopEngine := serve(engine.Handler())
 	b := bundle.Bundle{
 		Version:   1,
--- a/soak/notices.go
+++ b/soak/notices.go
@@ -32,8 +32,8 @@
 		p.mu.Lock()
 		runner := p.runner
 		p.mu.Unlock()
-		runner.SetRest(retryAfter)
-		defer runner.SetRest(0)
+		runner.SetRetryAfter(retryAfter)
+		defer runner.SetRetryAfter(0)
 	}
 	time.Sleep(f.For)
 }
--- a/soak/play.go
+++ b/soak/play.go
@@ -131,7 +131,7 @@
 }
 
 // storeFaults are the forms in which the store turns callers away.
-var storeFaults = []standin.StoreFault{standin.StoreBusy, standin.StoreLimited, standin.StoreSilent, standin.StoreReset}
+var storeFaults = []standin.StoreFault{standin.StoreUnavailable, standin.StoreRateLimited, standin.StoreUnresponsive, standin.StoreConnectionReset}
 
 func (d *deployment) hitStore(f Fault) {
 	fault := storeFaults[f.Variant%len(storeFaults)]
@@ -139,13 +139,13 @@
 	case StoreAway:
 		d.store.SetFaultFor(storeName(f.Target), fault)
 		time.Sleep(f.For)
-		d.store.SetFaultFor(storeName(f.Target), standin.StoreWell)
+		d.store.SetFaultFor(storeName(f.Target), standin.StoreHealthy)
 	case StoreDown:
 		d.store.SetFault(fault)
 		time.Sleep(f.For)
-		d.store.SetFault(standin.StoreWell)
+		d.store.SetFault(standin.StoreHealthy)
 	default:
-		d.store.Forget()
-		d.store.CutWatches()
+		d.store.Compact()
+		d.store.AbortWatches()
 	}
 }
--- a/soak/upstreams.go
+++ b/soak/upstreams.go
@@ -33,8 +33,8 @@
 
 // greyFaults are the forms of misbehaviour.
 var greyFaults = []standin.RunnerFault{
-	standin.RunnerFailing, standin.RunnerLosing, standin.RunnerExtra, standin.RunnerLate, standin.RunnerGarbled,
-	standin.RunnerCut, standin.RunnerUnframed, standin.RunnerMute, standin.RunnerUnsealed, standin.RunnerFull,
+	standin.RunnerServerError, standin.RunnerDroppedResponse, standin.RunnerDuplicateResponse, standin.RunnerStaleResponse, standin.RunnerMalformedResponse,
+	standin.RunnerTruncatedResponse, standin.RunnerNoContentLength, standin.RunnerUnresponsive, standin.RunnerMissingSeal, standin.RunnerFull,
 }
 
 func newPlace(number int, service string, op *operator, rec *Recorder) (*place, error) {
@@ -53,12 +53,12 @@
 func (p *place) runnerOf(service string) (*standin.Runner, error) {
 	p.started++
 	id, n := p.id(), platform.HTTPHeaders()
-	names := standin.RunnerNames{RequestID: n.RequestID, Instance: n.Upstream, Seal: n.Seal, NotRun: n.NotRun, Leaving: n.Leaving}
+	names := standin.RunnerHeaders{RequestID: n.RequestID, Instance: n.Upstream, Seal: n.Seal, NotRun: n.NotRun, Leaving: n.Leaving}
 	r, err := standin.NewRunner(id, names, standin.RunnerOptions{
 		Work: work, FaultEvery: greyEvery,
-		Began:    func(request string) func(bool) { return p.rec.Began(request, id, service) },
-		Crashes:  func(r *http.Request) bool { return p.crashIfMarked(id, r) },
-		Rejected: func(request string, rest time.Duration) { p.recordRejection(id, request, rest) },
+		OnStart:     func(request string) func(bool) { return p.rec.Began(request, id, service) },
+		ShouldCrash: func(r *http.Request) bool { return p.crashIfMarked(id, r) },
+		OnReject:    func(request string, rest time.Duration) { p.recordRejection(id, request, rest) },
 	})
 	return r, Error.Wrap(err)
 }
@@ -68,9 +68,9 @@
 
 // work is what a request takes; streams are told by their path.
 func work(r *http.Request) standin.Work {
-	w := standin.Work{Takes: workTakes}
+	w := standin.Work{ProcessingTime: workTakes}
 	if strings.HasPrefix(r.URL.Path, prefixes[Stream]) || strings.HasPrefix(r.URL.Path, prefixes[Feed]) {
-		w.Events, w.Gap = streamEvents, streamGap
+		w.Events, w.EventInterval = streamEvents, streamGap
 	}
 	return w
 }
@@ -174,7 +174,7 @@
 	p.mu.Unlock()
 	r.SetFault(greyFaults[variant%len(greyFaults)])
 	time.Sleep(lasts)
-	r.SetFault(standin.RunnerWell)
+	r.SetFault(standin.RunnerHealthy)
 }
 
 func firstOf(errs ...error) error {
--- a/soak/warmup.go
+++ b/soak/warmup.go
@@ -41,7 +41,7 @@
 	until := time.Now().Add(warmUpLimit.Duration)
 	time.Sleep(after)
 	bound := d.cfg.Bounds.WarmUp().Bound(warmUpLimit)
-	p.runner.WarmUp(until, int(crashFactor*float64(bound)))
+	p.runner.StartWarmUp(until, int(crashFactor*float64(bound)))
 	d.rec.Add(func(h *History) {
 		h.WarmUps = append(h.WarmUps, Span{Name: entry.ID, From: published + after, To: published + warmUpLimit.Duration})
 	})
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -19,15 +19,15 @@
 // EngineConfig says how an engine behaves.
 type EngineConfig struct {
 	Slots int
-	// FirstToken and PerToken are how long a prompt and each token take.
-	FirstToken, PerToken time.Duration
-	// CachedPrompts is how many prompt starts the prefix cache holds; a hit
+	// TimeToFirstToken and TimePerToken are how long a prompt and each token take.
+	TimeToFirstToken, TimePerToken time.Duration
+	// CachedPrefixes is how many prompt starts the prefix cache holds; a hit
 	// halves the time to the first token.
-	CachedPrompts int
+	CachedPrefixes int
 	// ReportLag is how old load reports are.
 	ReportLag time.Duration
-	// BreakAfter cuts a stream's connection after so many events; 0 never.
-	BreakAfter int
+	// DisconnectAfterEvents cuts a stream's connection after so many events; 0 never.
+	DisconnectAfterEvents int
 }
 
 // Engine is a model engine: it admits requests as they come, up to its slots,
@@ -78,9 +78,9 @@
 	return r.Prompt
 }
 
-// Token is the i-th token that engines answer a prompt with. Callers check
+// OutputToken is the i-th token that engines answer a prompt with. Callers check
 // answers by it.
-func Token(prompt []byte, i int) string {
+func OutputToken(prompt []byte, i int) string {
 	return fmt.Sprintf("%08x.%d ", uint32(xxhash.Sum64(prompt)), i)
 }
 
@@ -142,8 +142,8 @@
 		return
 	}
 	for i := range s.req.MaxTokens {
-		s.add(Token(s.req.text(), i))
-		if !pause(ctx, g.cfg.PerToken) {
+		s.add(OutputToken(s.req.text(), i))
+		if !pause(ctx, g.cfg.TimePerToken) {
 			return
 		}
 	}
@@ -168,14 +168,14 @@
 	defer g.mu.Unlock()
 	for _, cached := range g.cache {
 		if cached == start {
-			return g.cfg.FirstToken / 2
+			return g.cfg.TimeToFirstToken / 2
 		}
 	}
 	g.cache = append(g.cache, start)
-	if len(g.cache) > g.cfg.CachedPrompts {
+	if len(g.cache) > g.cfg.CachedPrefixes {
 		g.cache = g.cache[1:]
 	}
-	return g.cfg.FirstToken
+	return g.cfg.TimeToFirstToken
 }
 
 // load reports what was true ReportLag ago.
--- a/standin/generation.go
+++ b/standin/generation.go
@@ -97,7 +97,7 @@
 	out.WriteHeader(http.StatusOK)
 	out.Flush()
 	for i := from; ; i++ {
-		if g.cfg.BreakAfter > 0 && i-from >= g.cfg.BreakAfter {
+		if g.cfg.DisconnectAfterEvents > 0 && i-from >= g.cfg.DisconnectAfterEvents {
 			panic(http.ErrAbortHandler)
 		}
 		token, ok := s.next(c.Request().Context(), i)
--- a/standin/runner.go
+++ b/standin/runner.go
@@ -16,32 +16,32 @@
 
 // Faults of a runner.
 const (
-	// RunnerWell answers as it should.
-	RunnerWell RunnerFault = iota
+	// RunnerHealthy answers as it should.
+	RunnerHealthy RunnerFault = iota
 	// RunnerFull rejects requests and says that it didn't run them.
 	RunnerFull
-	// RunnerFailing runs requests and answers 500.
-	RunnerFailing
-	// RunnerLosing runs requests and loses the answers.
-	RunnerLosing
-	// RunnerExtra sends each answer twice.
-	RunnerExtra
-	// RunnerLate sends the last request's answer once more before each answer.
-	RunnerLate
-	// RunnerGarbled sends bytes that are no answer.
-	RunnerGarbled
-	// RunnerCut announces more than it sends.
-	RunnerCut
-	// RunnerUnframed sends answers without a length, which end with the connection.
-	RunnerUnframed
-	// RunnerMute takes requests and says nothing.
-	RunnerMute
-	// RunnerUnsealed leaves the seal out.
-	RunnerUnsealed
+	// RunnerServerError runs requests and answers 500.
+	RunnerServerError
+	// RunnerDroppedResponse runs requests and loses the answers.
+	RunnerDroppedResponse
+	// RunnerDuplicateResponse sends each answer twice.
+	RunnerDuplicateResponse
+	// RunnerStaleResponse sends the last request's answer once more before each answer.
+	RunnerStaleResponse
+	// RunnerMalformedResponse sends bytes that are no answer.
+	RunnerMalformedResponse
+	// RunnerTruncatedResponse announces more than it sends.
+	RunnerTruncatedResponse
+	// RunnerNoContentLength sends answers without a length, which end with the connection.
+	RunnerNoContentLength
+	// RunnerUnresponsive takes requests and says nothing.
+	RunnerUnresponsive
+	// RunnerMissingSeal leaves the seal out.
+	RunnerMissingSeal
 )
 
-// RunnerNames are the headers that a Runner reads and writes.
-type RunnerNames struct{ RequestID, Instance, Seal, NotRun, Leaving string }
+// RunnerHeaders are the headers that a Runner reads and writes.
+type RunnerHeaders struct{ RequestID, Instance, Seal, NotRun, Leaving string }
 
 // Paths and headers of a runner's health answers.
 const (
@@ -54,14 +54,14 @@
 type RunnerOptions struct {
 	// Work is what a request takes; nil is nothing.
 	Work func(*http.Request) Work
-	// Began is told that a request begins to run, and what it returns is told
+	// OnStart is told that a request begins to run, and what it returns is told
 	// the end; gone is set if the connection ended before the answer was whole.
-	Began func(id string) (ended func(gone bool))
-	// Crashes reports whether the runner crashes after working on a request; nil means
+	OnStart func(id string) (ended func(gone bool))
+	// ShouldCrash reports whether the runner crashes after working on a request; nil means
 	// never.
-	Crashes func(*http.Request) bool
-	// Rejected is called for each request rejected with a Retry-After delay of rest; may be nil.
-	Rejected func(id string, rest time.Duration)
+	ShouldCrash func(*http.Request) bool
+	// OnReject is called for each request rejected with a Retry-After delay of rest; may be nil.
+	OnReject func(id string, rest time.Duration)
 	// Address is where it listens, a free port of loopback if empty. A runner that
 	// starts again under its name has the address that it had.
 	Address string
@@ -72,20 +72,20 @@
 
 // Work is what a request takes.
 type Work struct {
-	// Takes is the time to the answer, or to the first event.
-	Takes time.Duration
+	// ProcessingTime is the time to the answer, or to the first event.
+	ProcessingTime time.Duration
 	// Events is the number of events of a stream; 0 is a plain answer. A caller
 	// that names the last event it has gets those after it.
 	Events int
-	// Gap is the time between two events.
-	Gap time.Duration
+	// EventInterval is the time between two events.
+	EventInterval time.Duration
 }
 
 // Runner is an upstream that answers the way the platform's upstreams do, and
 // misbehaves on request. It counts what it ran by the requests' ids.
 type Runner struct {
 	id       string
-	names    RunnerNames
+	names    RunnerHeaders
 	opts     RunnerOptions
 	fault    atomic.Uint32
 	leaving  atomic.Bool
@@ -101,7 +101,7 @@
 }
 
 // NewRunner listens.
-func NewRunner(id string, names RunnerNames, opts RunnerOptions) (*Runner, error) {
+func NewRunner(id string, names RunnerHeaders, opts RunnerOptions) (*Runner, error) {
 	address := opts.Address
 	if address == "" {
 		address = "127.0.0.1:0"
@@ -124,21 +124,21 @@
 // SetLeaving sets whether answers carry the leaving notice.
 func (r *Runner) SetLeaving(leaving bool) { r.leaving.Store(leaving) }
 
-// SetRest makes the runner reject requests with a 503 and rest as the Retry-After delay; 0 disables it.
-func (r *Runner) SetRest(rest time.Duration) { r.rest.Store(int64(rest)) }
+// SetRetryAfter makes the runner reject requests with a 503 and rest as the Retry-After delay; 0 disables it.
+func (r *Runner) SetRetryAfter(rest time.Duration) { r.rest.Store(int64(rest)) }
 
 // Rejected returns the number of requests rejected without being run.
 func (r *Runner) Rejected() int { return int(r.rejected.Load()) }
 
-// Ran is how often a request ran here.
-func (r *Runner) Ran(id string) int {
+// RunCount is how often a request ran here.
+func (r *Runner) RunCount(id string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.ran[id]
 }
 
-// Total is how many requests ran here.
-func (r *Runner) Total() int {
+// TotalRuns is how many requests ran here.
+func (r *Runner) TotalRuns() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
@@ -231,16 +231,16 @@
 	r.ran[id]++
 	r.mu.Unlock()
 	ended := func(bool) {}
-	if r.opts.Began != nil {
-		ended = r.opts.Began(id)
+	if r.opts.OnStart != nil {
+		ended = r.opts.OnStart(id)
 	}
 	next := afterAnswer(in)
 	var work Work
 	if r.opts.Work != nil {
 		work = r.opts.Work(req)
 	}
-	if r.opts.Crashes != nil && r.opts.Crashes(req) {
-		_ = waitOrGone(work.Takes, next) // crashes even if the caller has gone
+	if r.opts.ShouldCrash != nil && r.opts.ShouldCrash(req) {
+		_ = waitOrGone(work.ProcessingTime, next) // crashes even if the caller has gone
 		r.Crash()
 		ended(true)
 		return false
@@ -254,7 +254,7 @@
 func (r *Runner) nextFault() RunnerFault {
 	n := r.requests.Add(1)
 	if every := int64(r.opts.FaultEvery); every > 1 && n%every != 0 {
-		return RunnerWell
+		return RunnerHealthy
 	}
 	return RunnerFault(r.fault.Load())
 }
@@ -276,8 +276,8 @@
 		return r.head(http.StatusMisdirectedRequest, id, "Content-Length: 0")
 	}
 	if rest := time.Duration(r.rest.Load()); rest > 0 {
-		if r.opts.Rejected != nil {
-			r.opts.Rejected(id, rest)
+		if r.opts.OnReject != nil {
+			r.opts.OnReject(id, rest)
 		}
 		seconds := strconv.FormatFloat(rest.Seconds(), 'f', -1, 64)
 		return r.head(http.StatusServiceUnavailable, id, r.names.NotRun+": 1", "Retry-After: "+seconds, "Content-Length: 0")
--- a/standin/runner_answer.go
+++ b/standin/runner_answer.go
@@ -13,10 +13,10 @@
 
 // run works and answers. It returns false if the connection is of no more use.
 func (r *Runner) run(c net.Conn, req *http.Request, next <-chan error, work Work, fault RunnerFault, last string) bool {
-	if !waitOrGone(work.Takes, next) {
+	if !waitOrGone(work.ProcessingTime, next) {
 		return false
 	}
-	if work.Events > 0 && (fault == RunnerWell || fault == RunnerCut) {
+	if work.Events > 0 && (fault == RunnerHealthy || fault == RunnerTruncatedResponse) {
 		return r.stream(c, req, next, work, fault)
 	}
 	raw, keep := r.answer(req.Header.Get(r.names.RequestID), fault, last)
@@ -39,7 +39,7 @@
 	}
 }
 
-// stream answers with events. With RunnerCut it breaks off within one.
+// stream answers with events. With RunnerTruncatedResponse it breaks off within one.
 func (r *Runner) stream(c net.Conn, req *http.Request, next <-chan error, work Work, fault RunnerFault) bool {
 	id := req.Header.Get(r.names.RequestID)
 	out := httputil.NewChunkedWriter(c)
@@ -53,11 +53,11 @@
 	}
 	for n := from + 1; n <= work.Events; n++ {
 		event := StreamEvent(id, n)
-		if fault == RunnerCut && n-from > work.Events/2 {
+		if fault == RunnerTruncatedResponse && n-from > work.Events/2 {
 			_, _ = io.WriteString(out, event[:len(event)/2]) // the connection ends either way
 			return false
 		}
-		if _, err := io.WriteString(out, event); err != nil || !waitOrGone(work.Gap, next) {
+		if _, err := io.WriteString(out, event); err != nil || !waitOrGone(work.EventInterval, next) {
 			return false
 		}
 	}
@@ -74,25 +74,25 @@
 // answer returns the bytes to send and whether the connection goes on.
 func (r *Runner) answer(id string, fault RunnerFault, last string) (raw string, keep bool) {
 	switch fault {
-	case RunnerFailing:
+	case RunnerServerError:
 		return r.head(http.StatusInternalServerError, id, r.names.Seal+": seal", "Content-Length: 0"), true
-	case RunnerLosing:
+	case RunnerDroppedResponse:
 		return "", false
-	case RunnerExtra:
+	case RunnerDuplicateResponse:
 		return r.whole(id) + r.whole(id), true
-	case RunnerLate:
+	case RunnerStaleResponse:
 		return last + r.whole(id), true
-	case RunnerGarbled:
+	case RunnerMalformedResponse:
 		return "\x00\xffnothing of the kind\r\n\r\n", false
-	case RunnerCut:
+	case RunnerTruncatedResponse:
 		return r.head(http.StatusOK, id, r.names.Seal+": seal", "Content-Length: 100") + "half", false
-	case RunnerUnframed:
+	case RunnerNoContentLength:
 		return r.head(http.StatusOK, id, r.names.Seal+": seal", "Connection: close") + r.body(id), false
-	case RunnerMute:
+	case RunnerUnresponsive:
 		return "", true
-	case RunnerUnsealed:
+	case RunnerMissingSeal:
 		return r.head(http.StatusOK, id, "Content-Length: 0"), true
-	case RunnerWell, RunnerFull:
+	case RunnerHealthy, RunnerFull:
 	}
 	return r.whole(id), true
 }
--- a/standin/service.go
+++ b/standin/service.go
@@ -11,23 +11,23 @@
 
 // Service is a plain service that counts what it ran by key.
 type Service struct {
-	// Takes is how long a run takes.
-	Takes time.Duration
-	// CloseAfterRun cuts the connection after this many runs instead of
+	// ProcessingTime is how long a run takes.
+	ProcessingTime time.Duration
+	// DisconnectAfterRuns cuts the connection after this many runs instead of
 	// answering, counted from the first; 0 never.
-	CloseAfterRun int
-	mu            sync.Mutex
-	runs          map[string]int
-	total         int
+	DisconnectAfterRuns int
+	mu                  sync.Mutex
+	runs                map[string]int
+	total               int
 }
 
 // NewService returns a service.
 func NewService(takes time.Duration) *Service {
-	return &Service{Takes: takes, runs: map[string]int{}}
+	return &Service{ProcessingTime: takes, runs: map[string]int{}}
 }
 
-// Booking is the service's answer to a run.
-type Booking struct {
+// ServiceResponse is the service's answer to a run.
+type ServiceResponse struct {
 	Key    string `json:"key"`
 	Run    int    `json:"run"`
 	Method string `json:"method"`
@@ -64,13 +64,13 @@
 	s.mu.Lock()
 	s.total++
 	s.runs[key]++
-	run, cut := s.runs[key], s.CloseAfterRun > 0 && s.total >= s.CloseAfterRun
+	run, cut := s.runs[key], s.DisconnectAfterRuns > 0 && s.total >= s.DisconnectAfterRuns
 	s.mu.Unlock()
-	time.Sleep(s.Takes)
+	time.Sleep(s.ProcessingTime)
 	if cut {
 		panic(http.ErrAbortHandler)
 	}
-	return c.JSON(http.StatusCreated, Booking{
+	return c.JSON(http.StatusCreated, ServiceResponse{
 		Key: key, Run: run, Method: c.Request().Method,
 		Path: c.Request().URL.Path, Query: c.Request().URL.RawQuery, Body: string(body),
 	})
--- a/standin/store.go
+++ b/standin/store.go
@@ -38,16 +38,16 @@
 
 // Faults of a store.
 const (
-	// StoreWell answers.
-	StoreWell StoreFault = iota
-	// StoreBusy answers 503.
-	StoreBusy
-	// StoreLimited answers 429.
-	StoreLimited
-	// StoreSilent never answers.
-	StoreSilent
-	// StoreReset breaks the connection.
-	StoreReset
+	// StoreHealthy answers.
+	StoreHealthy StoreFault = iota
+	// StoreUnavailable answers 503.
+	StoreUnavailable
+	// StoreRateLimited answers 429.
+	StoreRateLimited
+	// StoreUnresponsive never answers.
+	StoreUnresponsive
+	// StoreConnectionReset breaks the connection.
+	StoreConnectionReset
 )
 
 // storeItem is an entry as it was written; a deletion has Tombstone set.
@@ -100,8 +100,8 @@
 	s.changed = make(chan struct{})
 }
 
-// Forget drops the history, so that older watches must list again.
-func (s *Store) Forget() {
+// Compact drops the history, so that older watches must list again.
+func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history = nil
@@ -122,8 +122,8 @@
 	s.faults[caller] = f
 }
 
-// CutWatches breaks all watches that wait.
-func (s *Store) CutWatches() {
+// AbortWatches breaks all watches that wait.
+func (s *Store) AbortWatches() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	close(s.cut)
@@ -137,8 +137,8 @@
 	s.revision = revision
 }
 
-// SetPage sets the size of a page.
-func (s *Store) SetPage(items int) {
+// SetPageSize sets the size of a page.
+func (s *Store) SetPageSize(items int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pageSize = items
@@ -180,16 +180,16 @@
 		s.mu.Unlock()
 		time.Sleep(delay)
 		switch fault {
-		case StoreBusy:
+		case StoreUnavailable:
 			return c.NoContent(http.StatusServiceUnavailable)
-		case StoreLimited:
+		case StoreRateLimited:
 			return c.NoContent(http.StatusTooManyRequests)
-		case StoreSilent:
+		case StoreUnresponsive:
 			<-c.Request().Context().Done()
 			return nil
-		case StoreReset:
+		case StoreConnectionReset:
 			panic(http.ErrAbortHandler)
-		case StoreWell:
+		case StoreHealthy:
 		}
 		return next(c)
 	}
--- a/standin/warmup.go
+++ b/standin/warmup.go
@@ -14,9 +14,9 @@
 	runs []time.Time
 }
 
-// WarmUp makes the runner crash, until a moment, when it runs more than most requests in a
+// StartWarmUp makes the runner crash, until a moment, when it runs more than most requests in a
 // second.
-func (r *Runner) WarmUp(until time.Time, most int) {
+func (r *Runner) StartWarmUp(until time.Time, most int) {
 	r.warmUp.mu.Lock()
 	defer r.warmUp.mu.Unlock()
 	r.warmUp.until, r.warmUp.most, r.warmUp.runs = until, most, nil
--- a/standin/warmup_test.go
+++ b/standin/warmup_test.go
@@ -14,7 +14,7 @@
 // Guards against a stand-in that bears any load while it warms up.
 func TestWarmingRunnerCrashesAboveItsRate(t *testing.T) {
 	g := NewWithT(t)
-	r, err := standin.NewRunner("r", standin.RunnerNames{RequestID: "X-Id", Instance: "X-Instance", Seal: "X-Seal", NotRun: "X-Not-Run"}, standin.RunnerOptions{})
+	r, err := standin.NewRunner("r", standin.RunnerHeaders{RequestID: "X-Id", Instance: "X-Instance", Seal: "X-Seal", NotRun: "X-Not-Run"}, standin.RunnerOptions{})
 	g.Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(func() { _ = r.Close() })
 	ask := func(id int) error {
@@ -30,7 +30,7 @@
 	for i := range 20 {
 		g.Expect(ask(i)).To(Succeed())
 	}
-	r.WarmUp(time.Now().Add(time.Minute), 3)
+	r.StartWarmUp(time.Now().Add(time.Minute), 3)
 	g.Expect(r.WarmUpLeft()).To(BeNumerically(">", 50*time.Second))
 	for i := range 3 {
 		g.Expect(ask(100 + i)).To(Succeed())
