--- a/daemon/callers_test.go
+++ b/daemon/callers_test.go
@@ -15,13 +15,13 @@
 	"github.com/aspenswitch/aspenswitch/standin"
 )
 
-var fast = standin.EngineConfig{Slots: 4, TimeToFirstToken: time.Millisecond, TimePerToken: time.Millisecond, CachedPrefixes: 8}
+var fastEngine = standin.EngineConfig{Slots: 4, TimeToFirstToken: time.Millisecond, TimePerToken: time.Millisecond, CachedPrefixes: 8}
 
 var _ = Describe("the callers' API", func() {
 	It("serves the published client library of the API", func() {
 		f := newFleet()
-		f.engine(fast, true)
-		f.start(1)
+		f.addEngine(fastEngine, true)
+		f.startRouters(1)
 		client := openai.NewClient(option.WithBaseURL(f.routers[0].url+"/v1"), option.WithAPIKey("schools-key"))
 		ctx := context.Background()
 		models, err := client.Models.List(ctx)
@@ -34,9 +34,9 @@
 			MaxTokens: openai.Int(5),
 			Messages:  []openai.ChatCompletionMessageParamUnion{openai.UserMessage("a week's round")},
 		}
-		whole, err := client.Chat.Completions.New(ctx, params)
+		completion, err := client.Chat.Completions.New(ctx, params)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(strings.Fields(whole.Choices[0].Message.Content)).To(HaveLen(5))
+		Expect(strings.Fields(completion.Choices[0].Message.Content)).To(HaveLen(5))
 
 		stream := client.Chat.Completions.NewStreaming(ctx, params)
 		var text strings.Builder
@@ -44,13 +44,13 @@
 			text.WriteString(stream.Current().Choices[0].Delta.Content)
 		}
 		Expect(stream.Err()).NotTo(HaveOccurred())
-		Expect(text.String()).To(Equal(whole.Choices[0].Message.Content))
+		Expect(text.String()).To(Equal(completion.Choices[0].Message.Content))
 	})
 
-	It("tells what is wrong in the API's shape, with the outcome", func() {
+	It("reports errors in the API's format, with the outcome", func() {
 		f := newFleet()
-		f.engine(fast, true)
-		f.start(1)
+		f.addEngine(fastEngine, true)
+		f.startRouters(1)
 		m := f.routers[0]
 		for _, c := range []struct {
 			status            int
@@ -80,12 +80,12 @@
 
 	It("passes a plain service's exchange on as it is, without the team's key", func() {
 		f := newFleet()
-		f.service(0)
-		f.start(1)
+		f.addService(0)
+		f.startRouters(1)
 		got := f.routers[0].call(http.MethodPut, "/services/booking/a%2Fb?x=1&y=2", "vans-key", "body", map[string]string{
 			"Idempotency-Key": "00000000-0000-7000-8000-000000000000", "Connection": "X-Hop", "X-Hop": "1", "X-Request-Id": "mine",
 		})
-		// A PUT that no route calls repeatable needs a key whose age is known.
+		// A PUT without a repeatable route needs a key whose age the router can determine.
 		Expect(got.outcome).To(Equal("unknown"))
 		got = f.routers[0].call(http.MethodPost, "/services/booking/a%2Fb?x=1&y=2", "vans-key", "body", map[string]string{"X-Request-Id": "mine"})
 		Expect(got.status).To(Equal(http.StatusCreated))
@@ -97,10 +97,10 @@
 
 	It("keeps a caller's deadline", func() {
 		f := newFleet()
-		f.engine(standin.EngineConfig{Slots: 1, TimeToFirstToken: time.Minute}, true)
-		f.start(1)
-		go f.routers[0].plan("long", 1, true)
-		Eventually(func() int { return f.routers[0].dump().Scheduler.Running }, patience).Should(Equal(1))
+		f.addEngine(standin.EngineConfig{Slots: 1, TimeToFirstToken: time.Minute}, true)
+		f.startRouters(1)
+		go f.routers[0].requestCompletion("long", 1, true)
+		Eventually(func() int { return f.routers[0].dump().Scheduler.Running }, eventuallyTimeout).Should(Equal(1))
 		got := f.routers[0].call(http.MethodPost, "/v1/completions", "schools-key", `{"model":"planner","prompt":"x"}`, map[string]string{"Aspenswitch-Timeout": "200ms"})
 		Expect(got.outcome).To(Equal("not-run"))
 		Expect(got.header.Get("Retry-After")).NotTo(BeEmpty())
@@ -108,8 +108,8 @@
 
 	It("shows operators the state without secrets", func() {
 		f := newFleet()
-		f.engine(fast, true)
-		f.start(2)
+		f.addEngine(fastEngine, true)
+		f.startRouters(2)
 		raw := string(f.routers[0].adminGet("/dump"))
 		Expect(raw).To(ContainSubstring(`"bundleInForce"`))
 		for _, secret := range []string{"schools-key", "token", "sha256:"} {
--- a/daemon/collect.go
+++ b/daemon/collect.go
@@ -8,29 +8,29 @@
 	"github.com/aspenswitch/aspenswitch/gcpace"
 )
 
-// paceEvery is how often the collector's pace is chosen: a flood fills the heap's room
-// within a few of these, and four wake-ups a second cost next to nothing.
-const paceEvery = 250 * time.Millisecond
+// gcUpdateInterval is the time between two updates of the GC percentage. A flood fills the free
+// heap within a few intervals, and four updates per second cost next to nothing.
+const gcUpdateInterval = 250 * time.Millisecond
 
-// paceCollector lets the heap grow further while the processor is short. The memory
-// limit bounds it: near the limit the collector works as hard as it must.
-func (d *FleetDaemon) paceCollector(ctx context.Context) {
-	ticker := time.NewTicker(paceEvery)
+// adjustGCPercent raises the GC percentage while CPU is scarce, and lowers it afterwards. The
+// memory limit still applies: near it the garbage collector runs as often as necessary.
+func (d *FleetDaemon) adjustGCPercent(ctx context.Context) {
+	ticker := time.NewTicker(gcUpdateInterval)
 	defer ticker.Stop()
-	var pace gcpace.Pacer
+	var pacer gcpace.Pacer
 	percent := gcpace.MinPercent
 	debug.SetGCPercent(percent)
-	last, used := time.Now(), processorTime()
+	lastUpdate, lastCPU := time.Now(), processCPUTime()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
-		now, cpu := time.Now(), processorTime()
-		pace.Observe(cpu-used, now.Sub(last), d.settings.Processor)
-		last, used = now, cpu
-		if next := pace.Percent(); next != percent {
+		now, cpu := time.Now(), processCPUTime()
+		pacer.Observe(cpu-lastCPU, now.Sub(lastUpdate), d.settings.Processor)
+		lastUpdate, lastCPU = now, cpu
+		if next := pacer.Percent(); next != percent {
 			percent = next
 			debug.SetGCPercent(percent)
 		}
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon puts a router process together: listeners, TLS, the callers'
-// and operators' APIs, and a graceful shutdown.
+// Package daemon assembles a router process: listeners, TLS, the APIs for callers
+// and operators, and graceful shutdown.
 package daemon
 
 import (
@@ -25,24 +25,24 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("daemon")
 
-// Daemon is one router process.
+// Daemon is a router process that is configured by signed bundles.
 type Daemon struct {
-	settings settings.Settings
-	log      zerolog.Logger
-	router   *router.Router
-	metrics  *obs.Metrics
-	callers  *http.Server
-	admin    *http.Server
-	listen   [2]net.Listener
-	peers    net.Addr
-	drain    chan struct{}
-	once     sync.Once
+	settings       settings.Settings
+	log            zerolog.Logger
+	router         *router.Router
+	metrics        *obs.Metrics
+	callers        *http.Server
+	admin          *http.Server
+	listeners      [2]net.Listener
+	peers          net.Addr
+	drainRequested chan struct{}
+	drainOnce      sync.Once
 }
 
-// New opens the listeners. Run serves. tune, if not nil, changes what settings
-// leave fixed.
+// New creates a Daemon and opens its listeners; Run serves them. If tune is not nil, it
+// adjusts the parts of the router's configuration that settings can't change.
 func New(s settings.Settings, log zerolog.Logger, tune func(*router.Config)) (*Daemon, error) {
-	d := &Daemon{settings: s, log: log, metrics: obs.NewMetrics("aspenswitch"), drain: make(chan struct{})}
+	d := &Daemon{settings: s, log: log, metrics: obs.NewMetrics("aspenswitch"), drainRequested: make(chan struct{})}
 	peers, err := net.Listen("tcp", s.Peers.Listen)
 	if err != nil {
 		return nil, Error.Wrap(err)
@@ -62,10 +62,10 @@
 	})
 	d.callers = callers.NewHTTPServer(callers.New(d.router, log).Handler())
 	d.admin = callers.NewHTTPServer(admin.New(d.router, s.Admin.TokenHash, d.Drain).Handler())
-	if d.listen[0], err = listen(s.Callers); err != nil {
+	if d.listeners[0], err = listen(s.Callers); err != nil {
 		return nil, err
 	}
-	d.listen[1], err = listen(s.Admin.Listener)
+	d.listeners[1], err = listen(s.Admin.Listener)
 	return d, err
 }
 
@@ -93,31 +93,32 @@
 	return router.PeerTLS{Server: server, Client: client}, err
 }
 
-// Addresses are where the daemon listens, for settings with port 0.
+// Addresses are the addresses of the daemon's listeners. They show the ports that were
+// chosen for settings with port 0.
 type Addresses struct{ Callers, Admin, Peers string }
 
-// Addresses returns where the daemon listens.
+// Addresses returns the addresses of the listeners.
 func (d *Daemon) Addresses() Addresses {
 	return Addresses{
-		Callers: d.listen[0].Addr().String(),
-		Admin:   d.listen[1].Addr().String(),
+		Callers: d.listeners[0].Addr().String(),
+		Admin:   d.listeners[1].Addr().String(),
 		Peers:   d.peers.String(),
 	}
 }
 
-// Drain begins a graceful shutdown.
-func (d *Daemon) Drain() { d.once.Do(func() { close(d.drain) }) }
+// Drain starts a graceful shutdown. It does not wait for the end.
+func (d *Daemon) Drain() { d.drainOnce.Do(func() { close(d.drainRequested) }) }
 
-// Run serves until Drain or ctx ends. After Drain running answers go on for the
-// grace; when ctx ends everything does.
+// Run serves until Drain is called or ctx is done. After Drain, running requests may finish
+// within the shutdown grace period; when ctx is done, they are aborted.
 func (d *Daemon) Run(ctx context.Context) error {
 	d.router.Start()
-	go func() { _ = d.callers.Serve(d.listen[0]) }()
-	go func() { _ = d.admin.Serve(d.listen[1]) }()
-	d.log.Info().Str("callers", d.listen[0].Addr().String()).Str("admin", d.listen[1].Addr().String()).Msg("serving")
+	go func() { _ = d.callers.Serve(d.listeners[0]) }()
+	go func() { _ = d.admin.Serve(d.listeners[1]) }()
+	d.log.Info().Str("callers", d.listeners[0].Addr().String()).Str("admin", d.listeners[1].Addr().String()).Msg("serving")
 	select {
 	case <-ctx.Done():
-	case <-d.drain:
+	case <-d.drainRequested:
 		d.shutdown(ctx)
 	}
 	_ = d.callers.Close()
@@ -126,19 +127,19 @@
 	return Error.Wrap(d.metrics.Close())
 }
 
-// shutdown lets running answers end.
+// shutdown waits for running requests to finish, for at most the shutdown grace period.
 func (d *Daemon) shutdown(ctx context.Context) {
-	grace, done := context.WithTimeout(ctx, time.Duration(d.settings.ShutdownGrace))
-	defer done()
+	graceCtx, cancel := context.WithTimeout(ctx, time.Duration(d.settings.ShutdownGrace))
+	defer cancel()
 	d.log.Info().Dur("grace", time.Duration(d.settings.ShutdownGrace)).Msg("shutting down")
-	running := d.router.Drain(grace)
+	running := d.router.Drain(graceCtx)
 	if running > 0 {
-		d.log.Error().Int("requests", running).Msg("grace is over: requests are cut")
+		d.log.Error().Int("requests", running).Msg("grace period expired; aborting running requests")
 		return
 	}
-	if err := d.callers.Shutdown(grace); err != nil {
-		d.log.Error().Err(err).Msg("grace is over: answers are cut")
+	if err := d.callers.Shutdown(graceCtx); err != nil {
+		d.log.Error().Err(err).Msg("grace period expired; aborting unfinished responses")
 		return
 	}
-	d.log.Info().Msg("shut down, nothing was cut")
+	d.log.Info().Msg("shut down; nothing was cut")
 }
--- a/daemon/fleet.go
+++ b/daemon/fleet.go
@@ -39,13 +39,14 @@
 
 type fleetListeners struct{ callers, readiness, control, metrics net.Listener }
 
-// NewFleetDaemon opens the listeners. Run serves.
+// NewFleetDaemon creates a FleetDaemon and opens its listeners; Run serves them. It sets the
+// memory limit of the Go runtime.
 func NewFleetDaemon(s settings.Fleet, log zerolog.Logger) (*FleetDaemon, error) {
-	// The limit makes the collector work harder before the process is killed
-	// for its memory; a quarter is left for what it doesn't count.
+	// Near the limit the garbage collector runs more often, before the process is killed for
+	// exceeding its memory. A quarter is left for memory that the Go runtime doesn't count.
 	debug.SetMemoryLimit(int64(s.MemoryMB) << 20 * 3 / 4)
 	d := &FleetDaemon{settings: s, log: log, metrics: obs.NewMetrics("aspenswitch"), pool: upstream.NewPool(upstream.DefaultPoolConfig())}
-	if err := d.open(); err != nil {
+	if err := d.openListeners(); err != nil {
 		return nil, err
 	}
 	nodeCfg := nodeConfig(s)
@@ -81,16 +82,19 @@
 	cfg := fleet.DefaultConfig()
 	cfg.IP, cfg.Port, cfg.Domain, cfg.Weight = s.Peers.IP, s.Peers.Port, s.FailureDomain, s.Processor
 	cfg.Seeds = seedIPs(s.Peers.Seeds)
-	// A view that its own router would renew is too old to pass on.
+	// A leader must not distribute state so old that its own router would read the
+	// platform again.
 	cfg.MaxLeaderStateAge = feed.DefaultConfig(s.Bounds.MaxRevocationDelay(), s.Bounds.MaxApplyDelay()).MaxFollowerAge
-	// A view passes two routers on its way and must arrive well before that age.
+	// State passes through two routers on its way and must arrive well before it reaches
+	// that age.
 	cfg.StatePollInterval = cfg.MaxLeaderStateAge / 6
 	cfg.Regions, cfg.WarmUp = s.Regions, s.Bounds.WarmUp()
 	cfg.Engine.ShareWindow = time.Duration(s.Bounds.ShareWindowS * float64(time.Second))
 	return cfg
 }
 
-// platformClient keeps one connection for the watch. Calls carry deadlines.
+// platformClient returns an HTTP client that keeps one idle connection for the watch. It has no
+// overall timeout, since each call has a deadline.
 func platformClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: time.Second}).DialContext,
@@ -100,72 +104,73 @@
 	}}
 }
 
-func (d *FleetDaemon) open() error {
+func (d *FleetDaemon) openListeners() error {
 	ip, _, err := net.SplitHostPort(d.settings.Control)
 	if err != nil {
 		return Error.Wrap(err)
 	}
 	for _, l := range []struct {
-		to      *net.Listener
-		address string
+		listener *net.Listener
+		address  string
 	}{
 		{&d.listeners.callers, d.settings.Callers},
 		{&d.listeners.readiness, d.settings.Readiness},
 		{&d.listeners.control, d.settings.Control},
 		{&d.listeners.metrics, net.JoinHostPort(ip, strconv.Itoa(d.settings.Metrics))},
 	} {
-		// Keep-alive probes would cost four system calls for each connection that
-		// a caller opens; idle callers end by the idle timeout, others by their
-		// request's deadline.
-		plain := net.ListenConfig{KeepAlive: -1}
-		if *l.to, err = plain.Listen(context.Background(), "tcp4", l.address); err != nil {
+		// TCP keep-alive would cost four system calls for each accepted connection. It
+		// isn't needed: the idle timeout ends idle connections, and the deadline of the
+		// request ends the others.
+		listenConfig := net.ListenConfig{KeepAlive: -1}
+		if *l.listener, err = listenConfig.Listen(context.Background(), "tcp4", l.address); err != nil {
 			return Error.Wrap(err)
 		}
 	}
 	return nil
 }
 
-// CallersAddress is where callers are heard, for settings with port 0.
+// CallersAddress returns the address of the callers' listener, for settings with port 0.
 func (d *FleetDaemon) CallersAddress() string { return d.listeners.callers.Addr().String() }
 
 // ControlAddress returns the address of the control listener, for settings with port 0.
 func (d *FleetDaemon) ControlAddress() string { return d.listeners.control.Addr().String() }
 
-// Run serves until ctx ends or Drain's grace is over.
+// Run serves until Drain closes the callers' listener, which is before running requests have
+// finished, or until that listener fails. When ctx is done, only the background tasks end.
 func (d *FleetDaemon) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go d.node.Run(ctx)
 	go d.feed.Run(ctx)
-	go d.sweep(ctx)
-	go d.tellLoad(ctx)
-	go d.tellTeams(ctx)
-	go d.paceCollector(ctx)
-	go d.side(d.listeners.readiness, d.readiness())
-	go d.side(d.listeners.control, d.control())
-	go d.side(d.listeners.metrics, d.metrics.Handler)
+	go d.closeExpiredConnections(ctx)
+	go d.logLoad(ctx)
+	go d.logTeams(ctx)
+	go d.adjustGCPercent(ctx)
+	go d.serveAuxiliary(d.listeners.readiness, d.readiness())
+	go d.serveAuxiliary(d.listeners.control, d.control())
+	go d.serveAuxiliary(d.listeners.metrics, d.metrics.Handler)
 	d.log.Info().Str("event", "start").Str("callers", d.settings.Callers).Str("failure_domain", d.settings.FailureDomain).Msg("serving")
 	return d.gateway.Serve(d.listeners.callers)
 }
 
-// side serves one of the small listeners; it ends with the process.
-func (d *FleetDaemon) side(l net.Listener, h http.Handler) {
-	server := &http.Server{Handler: h, ReadHeaderTimeout: sideTimeout, IdleTimeout: sideIdle}
+// serveAuxiliary serves the readiness, control or metrics listener until the process exits.
+func (d *FleetDaemon) serveAuxiliary(l net.Listener, h http.Handler) {
+	server := &http.Server{Handler: h, ReadHeaderTimeout: auxReadHeaderTimeout, IdleTimeout: auxIdleTimeout}
 	if err := server.Serve(l); err != nil {
-		d.log.Error().Str("event", "listener").Stringer("address", l.Addr()).Err(err).Msg("listener ended")
+		d.log.Error().Str("event", "listener").Stringer("address", l.Addr()).Err(err).Msg("listener failed")
 	}
 }
 
 const (
-	sideTimeout = 3 * time.Second
-	sideIdle    = 20 * time.Second
-	// sweepEvery is how often idle connections are looked at: well within the
-	// margin by which they close before the upstream does.
-	sweepEvery = 300 * time.Millisecond
+	auxReadHeaderTimeout = 3 * time.Second
+	auxIdleTimeout       = 20 * time.Second
+	// idleSweepInterval is the time between two searches for expired idle connections. It is
+	// well below the margin by which the pool closes a connection before the upstream does.
+	idleSweepInterval = 300 * time.Millisecond
 )
 
-func (d *FleetDaemon) sweep(ctx context.Context) {
-	ticker := time.NewTicker(sweepEvery)
+func (d *FleetDaemon) closeExpiredConnections(ctx context.Context) {
+	ticker := time.NewTicker(idleSweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -177,14 +182,14 @@
 	}
 }
 
-// Ready reports whether the balancer should send connections here: not while
-// stopping, and not while this router's view is too old to serve.
+// Ready reports whether the load balancer should send connections to this router. It returns
+// false while the router is stopping, and while it has no state or one too old to serve.
 func (d *FleetDaemon) Ready() bool {
 	return !d.gateway.Stopping() && d.feed.Snapshot() != nil && d.feed.Fresh()
 }
 
 func (d *FleetDaemon) readiness() http.Handler {
-	e := quietEcho()
+	e := newEcho()
 	e.GET(platform.ReadyPath, func(c echo.Context) error {
 		if !d.Ready() {
 			return c.NoContent(http.StatusServiceUnavailable)
@@ -194,17 +199,17 @@
 	return e
 }
 
-// control serves operators.
+// control returns the handler of the operators' listener.
 func (d *FleetDaemon) control() http.Handler {
-	e := quietEcho()
+	e := newEcho()
 	e.GET("/dump", func(c echo.Context) error { return c.JSON(http.StatusOK, d.dump()) })
 	e.GET("/metrics", echo.WrapHandler(d.metrics.Handler))
-	e.POST("/quarantine/release", d.release)
+	e.POST("/quarantine/release", d.releaseQuarantine)
 	return e
 }
 
-// release handles requests to end the quarantine of a team's content at all routers.
-func (d *FleetDaemon) release(c echo.Context) error {
+// releaseQuarantine handles requests to end the quarantine of a team's content at all routers.
+func (d *FleetDaemon) releaseQuarantine(c echo.Context) error {
 	id, err := quarantine.ParseContentID(c.QueryParam("team"), c.QueryParam("content"))
 	if err != nil {
 		return echo.NewHTTPError(http.StatusBadRequest, err.Error())
@@ -216,7 +221,7 @@
 	return c.NoContent(http.StatusNoContent)
 }
 
-// fleetDump is a process's state on request.
+// fleetDump is the state of the process that the control listener returns.
 type fleetDump struct {
 	Ready         bool       `json:"ready"`
 	Stopping      bool       `json:"stopping"`
@@ -234,24 +239,26 @@
 	}
 }
 
-func quietEcho() *echo.Echo {
+func newEcho() *echo.Echo {
 	e := echo.New()
 	e.HideBanner, e.HidePort = true, true
 	return e
 }
 
-// stopMargin is left of the grace for the process to end by itself.
-const stopMargin = 400 * time.Millisecond
+// exitMargin is the part of the termination grace period that is left for the process to exit
+// before it is killed.
+const exitMargin = 400 * time.Millisecond
 
-// Drain ends the process without cutting answers, within the grace.
+// Drain stops serving gracefully. Running requests may finish within the termination grace
+// period; Drain logs an error and aborts those that don't.
 func (d *FleetDaemon) Drain() {
-	grace := d.settings.Bounds.TerminationGracePeriod() - stopMargin
+	grace := d.settings.Bounds.TerminationGracePeriod() - exitMargin
 	ctx, cancel := context.WithTimeout(context.Background(), grace)
 	defer cancel()
 	d.log.Info().Str("event", "stop").Dur("grace", grace).Msg("stopping")
 	d.node.Leave()
 	if err := d.gateway.Shutdown(ctx); err != nil {
-		d.log.Error().Str("event", "stop").Err(err).Msg("grace is over: answers are cut")
+		d.log.Error().Str("event", "stop").Err(err).Msg("grace period expired; running requests were aborted")
 	}
 	d.gateway.Close()
 }
--- a/daemon/fleet_test.go
+++ b/daemon/fleet_test.go
@@ -26,10 +26,10 @@
 	"github.com/aspenswitch/aspenswitch/standin"
 )
 
-// patience is how long conditions are waited for.
-const patience = 10 * time.Second
+// eventuallyTimeout is how long tests wait for a condition.
+const eventuallyTimeout = 10 * time.Second
 
-// fleet is a platform, upstreams and routers in this process, on loopback.
+// fleet is a platform, upstreams and routers that run in the test process, on loopback.
 type fleet struct {
 	platform  *standin.Platform
 	server    *httptest.Server
@@ -37,14 +37,14 @@
 	keys      map[string]ed25519.PrivateKey
 	bundle    bundle.Bundle
 	routers   []*member
-	// tune changes what settings leave fixed; change changes the settings.
-	tune   func(*router.Config)
-	change func(*settings.Settings)
-	// address gives the address under which a router is listed, by default its own.
+	// tuneConfig adjusts what settings can't change; changeSettings adjusts the settings.
+	tuneConfig     func(*router.Config)
+	changeSettings func(*settings.Settings)
+	// address returns the peer address to publish for a router, its own by default.
 	address func(string, daemon.Addresses) string
 }
 
-// member is one router.
+// member is a router of the fleet.
 type member struct {
 	name   string
 	daemon *daemon.Daemon
@@ -54,7 +54,7 @@
 	log    *syncBuffer
 }
 
-// syncBuffer is a log that may be read while it is written.
+// syncBuffer is a log buffer that is safe for concurrent reads and writes.
 type syncBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -104,24 +104,24 @@
 	return f
 }
 
-// engine adds a model engine and returns it.
-func (f *fleet) engine(cfg standin.EngineConfig, resumable bool) *standin.Engine {
+// addEngine adds a model engine to the bundle and returns it.
+func (f *fleet) addEngine(cfg standin.EngineConfig, resumable bool) *standin.Engine {
 	e := standin.NewEngine(cfg)
-	f.upstream(bundle.Upstream{
+	f.addUpstream(bundle.Upstream{
 		Kind: bundle.Engine, Pool: "planning", Resumable: resumable, Slots: cfg.Slots,
 		Address: serve(e.Handler()),
 	})
 	return e
 }
 
-// service adds a plain service and returns it.
-func (f *fleet) service(takes time.Duration) *standin.Service {
-	s := standin.NewService(takes)
-	f.upstream(bundle.Upstream{Kind: bundle.Service, Pool: "bookings", Slots: 8, Address: serve(s.Handler())})
+// addService adds a plain service to the bundle and returns it.
+func (f *fleet) addService(processingTime time.Duration) *standin.Service {
+	s := standin.NewService(processingTime)
+	f.addUpstream(bundle.Upstream{Kind: bundle.Service, Pool: "bookings", Slots: 8, Address: serve(s.Handler())})
 	return s
 }
 
-func (f *fleet) upstream(u bundle.Upstream) {
+func (f *fleet) addUpstream(u bundle.Upstream) {
 	u.ID = len(f.bundle.Upstreams) + 1
 	u.Name = fmt.Sprintf("u%d", u.ID)
 	f.bundle.Upstreams = append(f.bundle.Upstreams, u)
@@ -136,7 +136,7 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// signed returns the bundle as users publish it.
+// signed returns the bundle signed by all operators, in the published format.
 func (f *fleet) signed(b bundle.Bundle) []byte {
 	text, err := json.Marshal(b)
 	Expect(err).NotTo(HaveOccurred())
@@ -149,10 +149,10 @@
 	return raw
 }
 
-func (f *fleet) publish(b bundle.Bundle) { f.platform.Publish(f.signed(b)) }
+func (f *fleet) publishBundle(b bundle.Bundle) { f.platform.Publish(f.signed(b)) }
 
-// add starts a router without waiting for it.
-func (f *fleet) add(name string) *member {
+// addRouter starts a router without waiting for it.
+func (f *fleet) addRouter(name string) *member {
 	s := settings.Default()
 	local := settings.Listener{Listen: "127.0.0.1:0"}
 	s.Name, s.FailureDomain, s.LogLevel = name, "a", "debug"
@@ -162,16 +162,17 @@
 	s.Platform.ListLag = jsonc.Duration(100 * time.Millisecond)
 	s.Platform.WatchersPerDomain = 2
 	s.Operators = f.operators
-	if f.change != nil {
-		f.change(&s)
+	if f.changeSettings != nil {
+		f.changeSettings(&s)
 	}
 	m := &member{name: name, done: make(chan struct{}), log: &syncBuffer{}}
 	d, err := daemon.New(s, zerolog.New(m.log), func(c *router.Config) {
-		// Keys may be used at once; the wait for clocks has tests of its own.
+		// A short skew allows keys to be used at once; other tests cover the wait for clock
+		// skew.
 		c.Idempotency.MaxClockSkew = 50 * time.Millisecond
 		c.WatchTimeout = time.Second
-		if f.tune != nil {
-			f.tune(c)
+		if f.tuneConfig != nil {
+			f.tuneConfig(c)
 		}
 	})
 	Expect(err).NotTo(HaveOccurred())
@@ -187,14 +188,14 @@
 	return m
 }
 
-// stop ends a router at once, as a crash does.
+// stop ends a router without a graceful shutdown, like a crash.
 func (m *member) stop() {
 	m.cancel()
 	<-m.done
 }
 
-// list publishes the VMs that are given.
-func (f *fleet) list(members ...*member) {
+// publishVMs publishes the VMs of the given routers.
+func (f *fleet) publishVMs(members ...*member) {
 	var list []membership.ListedVM
 	for _, m := range members {
 		list = append(list, membership.ListedVM{Name: m.name, FailureDomain: "a", Address: f.address(m.name, m.daemon.Addresses())})
@@ -204,19 +205,20 @@
 	f.platform.SetVMs(raw)
 }
 
-// start publishes the bundle and starts n routers; it returns when all are ready
-// and know each other.
-func (f *fleet) start(n int) {
-	f.publish(f.bundle)
+// startRouters publishes the bundle, starts n routers, and waits until all are ready and list
+// each other as live.
+func (f *fleet) startRouters(n int) {
+	f.publishBundle(f.bundle)
 	for i := range n {
-		f.add(fmt.Sprintf("vm%d", i+1))
+		f.addRouter(fmt.Sprintf("vm%d", i+1))
 	}
-	f.list(f.routers...)
+	f.publishVMs(f.routers...)
 	for _, m := range f.routers {
 		f.awaitReady(m, n)
 	}
 }
 
+// awaitReady waits until a router is ready and lists the given number of routers as live.
 func (f *fleet) awaitReady(m *member, live int) {
 	Eventually(func(g Gomega) {
 		resp, err := http.Get(m.url + "/readyz")
@@ -224,10 +226,10 @@
 		_ = resp.Body.Close()
 		g.Expect(resp.StatusCode).To(Equal(http.StatusOK))
 		g.Expect(m.dump().Scheduler.Live).To(HaveLen(live))
-	}, patience, "20ms").Should(Succeed())
+	}, eventuallyTimeout, "20ms").Should(Succeed())
 }
 
-// dump asks the operators' API for the whole state.
+// dump reads the router's state from the operators' API.
 func (m *member) dump() router.Dump {
 	var d router.Dump
 	raw := m.adminGet("/dump")
@@ -247,7 +249,7 @@
 	return raw
 }
 
-// answer is what a caller got.
+// answer is the response that a caller received, or the error.
 type answer struct {
 	status  int
 	header  http.Header
@@ -256,7 +258,7 @@
 	outcome string
 }
 
-// call sends a request to a router as a team.
+// call sends a request to the router with a team's key.
 func (m *member) call(method, path, key, body string, header map[string]string) answer {
 	req, err := http.NewRequest(method, m.url+path, strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
@@ -276,19 +278,20 @@
 	}
 }
 
-// book sends a request that must not be repeated.
-func (m *member) book(key string) answer {
+// postBooking sends a request that must not run twice.
+func (m *member) postBooking(key string) answer {
 	return m.call(http.MethodPost, "/services/booking/bookings", "vans-key", "a pitch", map[string]string{"Idempotency-Key": key})
 }
 
-// plan asks for a completion; the body is a stream's events or a whole answer.
-func (m *member) plan(prompt string, tokens int, stream bool) answer {
+// requestCompletion requests a completion. The body of the answer holds the events if stream is
+// set, else a JSON object.
+func (m *member) requestCompletion(prompt string, tokens int, stream bool) answer {
 	body := fmt.Sprintf(`{"model":"planner","prompt":%q,"max_tokens":%d,"stream":%v}`, prompt, tokens, stream)
 	return m.call(http.MethodPost, "/v1/completions", "schools-key", body, nil)
 }
 
-// text joins the tokens of a stream; whole is set if its last event came.
-func text(stream string) (text string, whole bool) {
+// text joins the tokens of a stream; complete is set if its final event was received.
+func text(stream string) (text string, complete bool) {
 	for line := range strings.SplitSeq(stream, "\n") {
 		data, ok := strings.CutPrefix(line, "data: ")
 		if !ok {
@@ -309,8 +312,8 @@
 	return text, false
 }
 
-// want is the text that an engine answers a prompt with.
-func want(prompt string, tokens int) string {
+// expectedText returns the output of an engine for a prompt.
+func expectedText(prompt string, tokens int) string {
 	quoted, err := json.Marshal(prompt)
 	Expect(err).NotTo(HaveOccurred())
 	var all strings.Builder
--- a/daemon/net_test.go
+++ b/daemon/net_test.go
@@ -23,12 +23,12 @@
 )
 
 var _ = Describe("connections between routers", func() {
-	// Every open connection between three routers goes silent at once, while new
-	// ones work. Nobody is taken for dead, votes and slots go on.
+	// All open connections between three routers stop carrying data at once, while new ones
+	// work. No router must be considered dead, and votes and slots must still be granted.
 	It("are replaced when they go silent", func() {
 		f := newFleet()
-		f.service(0)
-		f.engine(fast, true)
+		f.addService(0)
+		f.addEngine(fastEngine, true)
 		relays := map[string]*relay{}
 		f.address = func(name string, a daemon.Addresses) string {
 			if relays[name] == nil {
@@ -36,18 +36,19 @@
 			}
 			return relays[name].address()
 		}
-		f.start(3)
-		Eventually(func() int { return f.routers[0].book(newKey()).status }, patience).Should(Equal(http.StatusCreated))
+		f.startRouters(3)
+		Eventually(func() int { return f.routers[0].postBooking(newIdempotencyKey()).status }, eventuallyTimeout).Should(Equal(http.StatusCreated))
 		for _, r := range relays {
 			r.silence()
 		}
-		Eventually(f.routers[0].log.String, patience).Should(ContainSubstring("opening a new connection"))
-		Eventually(func() int { return f.routers[0].book(newKey()).status }, patience).Should(Equal(http.StatusCreated))
+		Eventually(f.routers[0].log.String, eventuallyTimeout).Should(ContainSubstring("opening a new connection"))
+		Eventually(func() int { return f.routers[0].postBooking(newIdempotencyKey()).status }, eventuallyTimeout).Should(Equal(http.StatusCreated))
 		Consistently(func() []string { return f.routers[0].dump().Scheduler.Live }, "1500ms", "100ms").Should(HaveLen(3))
 	})
 })
 
-// certificates writes a CA and a certificate for 127.0.0.1 signed by it.
+// certificates creates a CA and a certificate for 127.0.0.1 signed by it, and writes them to
+// files.
 func certificates() (caFile, certFile, keyFile string, pool *x509.CertPool) {
 	dir, err := os.MkdirTemp("", "certs")
 	Expect(err).NotTo(HaveOccurred())
@@ -82,22 +83,22 @@
 }
 
 var _ = Describe("TLS", func() {
-	// Routers show each other certificates of one authority; a stranger without
-	// one can't talk to them, and callers reach the API by TLS.
+	// Routers authenticate each other by certificates of one authority. A client without such a
+	// certificate must be rejected by the peer listener, and callers must be served over TLS.
 	It("serves callers and admits only routers of the authority", func() {
 		ca, cert, key, pool := certificates()
 		f := newFleet()
-		f.engine(fast, true)
-		f.change = func(s *settings.Settings) {
+		f.addEngine(fastEngine, true)
+		f.changeSettings = func(s *settings.Settings) {
 			s.Callers.CertFile, s.Callers.KeyFile = cert, key
 			s.Peers.CertFile, s.Peers.KeyFile, s.Peers.CAFile = cert, key, ca
 		}
-		f.publish(f.bundle)
-		f.add("vm1")
-		f.add("vm2")
-		f.list(f.routers...)
-		Eventually(func() []string { return f.routers[0].dump().Scheduler.Live }, patience).Should(HaveLen(2))
-		Eventually(func() bool { return f.routers[0].dump().Ready }, patience).Should(BeTrue())
+		f.publishBundle(f.bundle)
+		f.addRouter("vm1")
+		f.addRouter("vm2")
+		f.publishVMs(f.routers...)
+		Eventually(func() []string { return f.routers[0].dump().Scheduler.Live }, eventuallyTimeout).Should(HaveLen(2))
+		Eventually(func() bool { return f.routers[0].dump().Ready }, eventuallyTimeout).Should(BeTrue())
 
 		client := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}}}
 		defer client.CloseIdleConnections()
@@ -106,11 +107,11 @@
 		_ = resp.Body.Close()
 		Expect(resp.StatusCode).To(Equal(http.StatusOK))
 
-		stranger, err := tls.Dial("tcp", f.routers[0].daemon.Addresses().Peers, &tls.Config{RootCAs: pool})
+		conn, err := tls.Dial("tcp", f.routers[0].daemon.Addresses().Peers, &tls.Config{RootCAs: pool})
 		if err == nil {
-			// With TLS 1.3 the refusal comes with the first read.
-			_, err = stranger.Read(make([]byte, 1))
-			_ = stranger.Close()
+			// With TLS 1.3 the client gets the rejection at its first read.
+			_, err = conn.Read(make([]byte, 1))
+			_ = conn.Close()
 		}
 		Expect(err).To(HaveOccurred())
 	})
--- a/daemon/relay_test.go
+++ b/daemon/relay_test.go
@@ -14,11 +14,11 @@
 	"github.com/aspenswitch/aspenswitch/standin"
 )
 
-// relay passes TCP connections on until it is told to silence those that are
-// open: they stay open and carry nothing, while new ones work.
+// relay forwards TCP connections. After a call of silence, the connections open at that time
+// stay open but carry no more data, while new ones work.
 type relay struct {
 	listener net.Listener
-	to       string
+	target   string
 	mu       sync.Mutex
 	silent   []*atomic.Bool
 }
@@ -26,7 +26,7 @@
 func newRelay(to string) *relay {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
-	r := &relay{listener: l, to: to}
+	r := &relay{listener: l, target: to}
 	DeferCleanup(l.Close)
 	go r.serve()
 	return r
@@ -40,7 +40,7 @@
 		if err != nil {
 			return
 		}
-		out, err := net.Dial("tcp", r.to)
+		out, err := net.Dial("tcp", r.target)
 		if err != nil {
 			_ = in.Close()
 			continue
@@ -54,7 +54,8 @@
 	}
 }
 
-// pump copies one direction; a silent one reads on and passes nothing.
+// pump copies data in one direction. Once silent is set, it discards the data and leaves the
+// receiving side open.
 func pump(to, from net.Conn, silent *atomic.Bool) {
 	buf := make([]byte, 32<<10)
 	for {
@@ -73,7 +74,7 @@
 	}
 }
 
-// silence makes the open connections carry nothing more.
+// silence stops forwarding on all open connections without closing them.
 func (r *relay) silence() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -90,8 +91,8 @@
 	return b.String(), err
 }
 
-// closedAddress is one that nobody listens on, now or later in the test.
-func closedAddress() string {
+// refusedAddress returns an address that refuses connections until the end of the test.
+func refusedAddress() string {
 	address, release, err := standin.RefusedAddress()
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(release)
--- a/daemon/reload.go
+++ b/daemon/reload.go
@@ -10,25 +10,24 @@
 	"github.com/aspenswitch/aspenswitch/settings"
 )
 
-// lookEvery is how often the settings file is looked at: it may change without
-// a signal, and nothing that it holds is needed sooner.
-const lookEvery = time.Second
+// settingsPollInterval is the time between two checks of the settings file for changes. The file
+// may change without a signal, and no setting has to take effect sooner.
+const settingsPollInterval = time.Second
 
-// WatchSettings reloads the settings whenever the file changes. It never
-// returns.
+// WatchSettings reloads the settings whenever the file changes. It never returns.
 func (d *FleetDaemon) WatchSettings(file string) {
-	last := modified(file)
-	for range time.Tick(lookEvery) {
-		if at := modified(file); at != last {
-			last = at
+	last := modTime(file)
+	for range time.Tick(settingsPollInterval) {
+		if modifiedAt := modTime(file); modifiedAt != last {
+			last = modifiedAt
 			d.Reload(file)
 		}
 	}
 }
 
-// modified is when a file was changed; zero while it can't be seen, which
-// Reload reports.
-func modified(file string) time.Time {
+// modTime returns the modification time of a file, or zero if it can't be read. Reload then
+// reports the error.
+func modTime(file string) time.Time {
 	info, err := os.Stat(file)
 	if err != nil {
 		return time.Time{}
@@ -36,13 +35,13 @@
 	return info.ModTime()
 }
 
-// Reload reads the settings again and applies what can change in a running
-// process: the seeds and the log level. Requests and connections go on. A file
-// with findings changes nothing.
+// Reload reads the settings file and applies the settings that can change in a running process:
+// the seeds and the log level. Requests and connections are not interrupted. If the file is
+// invalid, nothing changes.
 func (d *FleetDaemon) Reload(file string) {
 	s, err := settings.LoadFleet(file)
 	if err != nil {
-		d.log.Error().Str("event", "reload").Err(err).Msg("settings not changed")
+		d.log.Error().Str("event", "reload").Err(err).Msg("failed to load the settings; keeping the current ones")
 		return
 	}
 	if level, err := zerolog.ParseLevel(s.LogLevel); err == nil {
@@ -52,12 +51,13 @@
 	d.log.Info().Str("event", "reload").Strs("seeds", s.Peers.Seeds).Str("log_level", s.LogLevel).Msg("settings reloaded")
 }
 
-// seedIPs are the IPs of addresses; the settings' check has found them sound.
+// seedIPs returns the IPs of addresses. Invalid addresses are skipped without an error, because
+// they were validated when the settings were loaded.
 func seedIPs(addresses []string) []string {
 	var ips []string
 	for _, a := range addresses {
-		if at, err := netip.ParseAddrPort(a); err == nil {
-			ips = append(ips, at.Addr().String())
+		if addrPort, err := netip.ParseAddrPort(a); err == nil {
+			ips = append(ips, addrPort.Addr().String())
 		}
 	}
 	return ips
--- a/daemon/rollout_test.go
+++ b/daemon/rollout_test.go
@@ -12,6 +12,7 @@
 	"github.com/aspenswitch/aspenswitch/standin"
 )
 
+// versions returns the bundle version in force at each running router.
 func (f *fleet) versions() []uint64 {
 	var all []uint64
 	for _, m := range f.routers {
@@ -25,103 +26,104 @@
 }
 
 var _ = Describe("a bundle", func() {
-	// Two of three routers watch the platform. A new version is in force at all.
+	// Only two of the three routers watch the platform; the third must receive the new version
+	// from its peers.
 	It("comes in force everywhere, also at routers that don't watch", func() {
 		f := newFleet()
-		f.engine(fast, true)
-		f.start(3)
+		f.addEngine(fastEngine, true)
+		f.startRouters(3)
 		b := f.bundle
 		b.Version = 2
-		f.publish(b)
-		Eventually(f.versions, patience, "20ms").Should(HaveEach(uint64(2)))
+		f.publishBundle(b)
+		Eventually(f.versions, eventuallyTimeout, "20ms").Should(HaveEach(uint64(2)))
 	})
 
-	// The platform goes back to an older version, and a router restarts without
-	// memory beside it. Nobody acts by the older one.
+	// The platform goes back to an older version, and a router restarts without state. No
+	// router must apply the older version.
 	It("never reverts beside a stale platform", func() {
 		f := newFleet()
-		f.engine(fast, true)
+		f.addEngine(fastEngine, true)
 		f.bundle.Version = 1
-		f.start(3)
+		f.startRouters(3)
 		b := f.bundle
 		b.Version = 2
-		f.publish(b)
-		Eventually(f.versions, patience, "20ms").Should(HaveEach(uint64(2)))
-		f.publish(f.bundle)
+		f.publishBundle(b)
+		Eventually(f.versions, eventuallyTimeout, "20ms").Should(HaveEach(uint64(2)))
+		f.publishBundle(f.bundle)
 		f.routers[0].stop()
-		fresh := f.add("vm1")
-		f.list(f.routers[1], f.routers[2], fresh)
+		fresh := f.addRouter("vm1")
+		f.publishVMs(f.routers[1], f.routers[2], fresh)
 		f.awaitReady(fresh, 3)
 		Consistently(f.versions, "500ms", "20ms").Should(HaveEach(uint64(2)))
 	})
 
-	// The platform is down when a router restarts: it learns the version from its
-	// peers and serves.
+	// The platform's bundle is unreadable when a router restarts. The router must get the
+	// bundle from its peers and serve.
 	It("reaches a restarted router while the platform's bundle can't be read", func() {
 		f := newFleet()
-		f.engine(fast, true)
-		f.start(3)
+		f.addEngine(fastEngine, true)
+		f.startRouters(3)
 		f.platform.Publish([]byte("not a bundle"))
 		f.routers[0].stop()
-		fresh := f.add("vm1")
-		f.list(f.routers[1], f.routers[2], fresh)
+		fresh := f.addRouter("vm1")
+		f.publishVMs(f.routers[1], f.routers[2], fresh)
 		f.awaitReady(fresh, 3)
-		Expect(fresh.plan("x", 2, false).status).To(Equal(200))
+		Expect(fresh.requestCompletion("x", 2, false).status).To(Equal(200))
 	})
 
-	// Somebody changes a published bundle, or one operator signs alone: refused
-	// and logged, and the version in force goes on.
+	// A published bundle was modified after it was signed. Like one signed by a single operator, it
+	// must be refused and logged, and the version in force must stay.
 	It("is refused when it was tampered with", func() {
 		f := newFleet()
-		f.engine(fast, true)
-		f.start(1)
+		f.addEngine(fastEngine, true)
+		f.startRouters(1)
 		b := f.bundle
 		b.Version = 2
 		f.platform.Publish([]byte(strings.Replace(string(f.signed(b)), "schools", "skoolzz", 1)))
-		Eventually(f.routers[0].log.String, patience).Should(ContainSubstring("bundle refused"))
+		Eventually(f.routers[0].log.String, eventuallyTimeout).Should(ContainSubstring("bundle refused"))
 		Expect(f.versions()).To(HaveEach(uint64(1)))
 	})
 
-	// The same version is published with another content: refused, and operators
-	// see the conflict.
+	// The same version is published with different content. It must be refused, and the
+	// conflict must be visible to operators.
 	It("is refused when its version was used for another content", func() {
 		f := newFleet()
-		f.engine(fast, true)
-		f.start(1)
+		f.addEngine(fastEngine, true)
+		f.startRouters(1)
 		b := f.bundle
 		b.Limits.BodyBytes = 9
-		f.publish(b)
-		Eventually(func() int { return len(f.routers[0].dump().Conflicts) }, patience).Should(Equal(1))
-		Expect(f.routers[0].plan("x", 2, false).status).To(Equal(200))
+		f.publishBundle(b)
+		Eventually(func() int { return len(f.routers[0].dump().Conflicts) }, eventuallyTimeout).Should(Equal(1))
+		Expect(f.routers[0].requestCompletion("x", 2, false).status).To(Equal(200))
 	})
 
-	// Teams, shares and upstreams change while a stream runs, even its own
-	// upstream goes: the stream ends whole.
+	// Teams, shares and upstreams change while a stream runs, and the stream's own upstream is
+	// removed. The stream must still complete.
 	It("cuts no running request when it changes", func() {
 		f := newFleet()
-		f.engine(standin.EngineConfig{Slots: 2, TimePerToken: 20 * time.Millisecond}, true)
-		f.start(2)
+		f.addEngine(standin.EngineConfig{Slots: 2, TimePerToken: 20 * time.Millisecond}, true)
+		f.startRouters(2)
 		got := make(chan answer, 1)
-		go func() { got <- f.routers[0].plan("long", 40, true) }()
-		Eventually(func() int { return f.routers[0].dump().Scheduler.Running }, patience).Should(Equal(1))
+		go func() { got <- f.routers[0].requestCompletion("long", 40, true) }()
+		Eventually(func() int { return f.routers[0].dump().Scheduler.Running }, eventuallyTimeout).Should(Equal(1))
 		b := f.bundle
 		b.Version, b.Upstreams = 2, nil
-		f.publish(b)
-		Eventually(f.versions, patience, "20ms").Should(HaveEach(uint64(2)))
-		answer, whole := text((<-got).body)
-		Expect(whole).To(BeTrue())
-		Expect(answer).To(Equal(want("long", 40)))
+		f.publishBundle(b)
+		Eventually(f.versions, eventuallyTimeout, "20ms").Should(HaveEach(uint64(2)))
+		answer, complete := text((<-got).body)
+		Expect(complete).To(BeTrue())
+		Expect(answer).To(Equal(expectedText("long", 40)))
 	})
 })
 
 var _ = Describe("a graceful shutdown", func() {
-	// Every router is shut down and replaced in turn under a load of streams whose
-	// callers go to whichever is ready. No stream is cut and none is lost.
+	// Each router in turn is shut down and replaced while callers send streams to the routers that
+	// are ready. No stream must be cut or lost.
 	It("cuts nothing in a rolling restart under load", func() {
 		f := newFleet()
-		f.engine(standin.EngineConfig{Slots: 8, TimePerToken: 10 * time.Millisecond}, true)
-		f.engine(standin.EngineConfig{Slots: 8, TimePerToken: 10 * time.Millisecond}, true)
-		f.start(3)
+		f.addEngine(standin.EngineConfig{Slots: 8, TimePerToken: 10 * time.Millisecond}, true)
+		f.addEngine(standin.EngineConfig{Slots: 8, TimePerToken: 10 * time.Millisecond}, true)
+		f.startRouters(3)
 		var mu sync.Mutex
 		current := append([]*member{}, f.routers...)
 		pick := func(i int) *member {
@@ -143,17 +145,17 @@
 					}
 					prompt := fmt.Sprintf("round %d of %d", n, i)
 					m := pick(n)
-					got := m.plan(prompt, 10, true)
+					got := m.requestCompletion(prompt, 10, true)
 					if got.err != nil && got.status == 0 {
-						continue // refused to connect: the balancer's list lags
+						continue // connection refused: the load balancer's list is not yet up to date
 					}
 					if got.status != 200 {
 						Expect(got.outcome).To(Equal("not-run"), got.body)
 						continue
 					}
-					answer, whole := text(got.body)
-					Expect(whole).To(BeTrue(), "cut by the shutdown of %s: %q", m.name, got.body)
-					Expect(answer).To(Equal(want(prompt, 10)))
+					answer, complete := text(got.body)
+					Expect(complete).To(BeTrue(), "cut by the shutdown of %s: %q", m.name, got.body)
+					Expect(answer).To(Equal(expectedText(prompt, 10)))
 					mu.Lock()
 					served++
 					mu.Unlock()
@@ -166,13 +168,13 @@
 			current = current[1:]
 			mu.Unlock()
 			old.daemon.Drain()
-			Eventually(old.done, patience).Should(BeClosed())
+			Eventually(old.done, eventuallyTimeout).Should(BeClosed())
 			Expect(old.log.String()).To(ContainSubstring("nothing was cut"))
-			fresh := f.add(fmt.Sprintf("vm%d", i+1))
+			fresh := f.addRouter(fmt.Sprintf("vm%d", i+1))
 			mu.Lock()
 			alive := append(append([]*member{}, current...), fresh)
 			mu.Unlock()
-			f.list(alive...)
+			f.publishVMs(alive...)
 			f.awaitReady(fresh, 3)
 			mu.Lock()
 			current = alive
--- a/daemon/suite_test.go
+++ b/daemon/suite_test.go
@@ -9,7 +9,7 @@
 
 func TestDaemon(t *testing.T) {
 	RegisterFailHandler(Fail)
-	// The same order of specs in every run.
+	// A fixed seed runs the specs in the same order each time.
 	suite, reporter := GinkgoConfiguration()
 	suite.RandomSeed = 1
 	RunSpecs(t, "Daemon", suite, reporter)
--- a/daemon/teams_internal_test.go
+++ b/daemon/teams_internal_test.go
@@ -10,8 +10,9 @@
 	"github.com/aspenswitch/aspenswitch/gateway"
 )
 
-// Each team with counters of its own takes memory until the process ends, and there are
-// thousands of teams: the first few get their own, the others share one.
+// Guards against unbounded memory use. Counters are kept until the process ends and there are
+// thousands of teams, so only the first few teams get counters of their own and the others
+// share one set.
 func TestTeamCountersAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	scope := tally.NewTestScope("", nil)
@@ -20,8 +21,8 @@
 	for i := range teams {
 		c.add(&gateway.TeamLoad{Team: strconv.Itoa(i), Shed: 2})
 	}
-	g.Expect(c.teams).To(HaveLen(mostTeamMetrics + 1))
+	g.Expect(c.teams).To(HaveLen(maxTeamMetrics + 1))
 	counters := scope.Snapshot().Counters()
 	g.Expect(counters["team_requests+decision=shed,team=3"].Value()).To(Equal(int64(2)))
-	g.Expect(counters["team_requests+decision=shed,team=other"].Value()).To(Equal(int64(2 * (teams - mostTeamMetrics))))
+	g.Expect(counters["team_requests+decision=shed,team=other"].Value()).To(Equal(int64(2 * (teams - maxTeamMetrics))))
 }
