--- a/daemon/failures_test.go
+++ b/daemon/failures_test.go
@@ -144,7 +144,7 @@
 
 var _ = Describe("a request that must not be repeated", func() {
 	// A client sends the same request to several routers at once. The service must run it at most
-	// once, and a later repeat must get the answer of that run.
+	// once, and each caller must get the answer of that run, or the outcome unknown.
 	It("runs once when it reaches all routers at once", func() {
 		f := newFleet()
 		s := f.addService(50 * time.Millisecond)
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -13,7 +13,7 @@
 )
 
 // Platform is a fake configuration service that routers read and watch. The endpoints below
-// /control publish configuration and make it unavailable, as its users could.
+// /control do what its users do: publish configuration or take the service down.
 type Platform struct {
 	mu      sync.Mutex
 	bundle  []byte
--- a/standin/store.go
+++ b/standin/store.go
@@ -50,7 +50,7 @@
 	StoreConnectionReset
 )
 
-// storeItem is a key with the value of a revision. Tombstone is set for a deletion.
+// storeItem is one revision of a key. Tombstone is set for a deletion.
 type storeItem struct {
 	Key       string `json:"key"`
 	Value     []byte `json:"value,omitempty"`
