--- a/cmd/aspenswitch-standin/main.go
+++ b/cmd/aspenswitch-standin/main.go
@@ -26,11 +26,11 @@
 	engine := app.Command("engine", "Run a model engine.")
 	cfg := standin.EngineConfig{}
 	engine.Flag("slots", "Concurrent requests.").Default("8").IntVar(&cfg.Slots)
-	engine.Flag("first-token", "Time to the first token.").Default("20ms").DurationVar(&cfg.FirstToken)
-	engine.Flag("per-token", "Time per token.").Default("5ms").DurationVar(&cfg.PerToken)
-	engine.Flag("cached-prompts", "Capacity of the prefix cache in prompt prefixes.").Default("32").IntVar(&cfg.CachedPrompts)
+	engine.Flag("first-token", "Time to the first token.").Default("20ms").DurationVar(&cfg.TimeToFirstToken)
+	engine.Flag("per-token", "Time per token.").Default("5ms").DurationVar(&cfg.TimePerToken)
+	engine.Flag("cached-prompts", "Capacity of the prefix cache in prompt prefixes.").Default("32").IntVar(&cfg.CachedPrefixes)
 	engine.Flag("report-lag", "Age of load reports.").Default("200ms").DurationVar(&cfg.ReportLag)
-	engine.Flag("break-after", "Close the connection of each stream after this number of events; 0 disables it.").IntVar(&cfg.BreakAfter)
+	engine.Flag("break-after", "Close the connection of each stream after this number of events; 0 disables it.").IntVar(&cfg.DisconnectAfterEvents)
 	service := app.Command("service", "Run a plain service that counts its runs by key.")
 	runDuration := service.Flag("takes", "Duration of a run.").Default("10ms").Duration()
 	var handler http.Handler
