--- a/cmd/aspenswitch-load/main.go
+++ b/cmd/aspenswitch-load/main.go
@@ -119,7 +119,7 @@
 			return err
 		}
 	}
-	if faults := r.Faults(); len(faults) > 0 {
+	if faults := r.Violations(); len(faults) > 0 {
 		return fmt.Errorf("%d faults, the first: %s", len(faults), faults[0])
 	}
 	return nil
--- a/load/plan.go
+++ b/load/plan.go
@@ -32,10 +32,10 @@
 	Share float64 `json:"share"`
 	// Rate is how many requests it sends a second.
 	Rate float64 `json:"rate"`
-	// Model makes it ask a model for Tokens tokens, StreamPart of them as streams.
-	Model      string  `json:"model"`
-	Tokens     int     `json:"tokens"`
-	StreamPart float64 `json:"streamPart"`
+	// Model makes it ask a model for Tokens tokens, StreamFraction of them as streams.
+	Model          string  `json:"model"`
+	Tokens         int     `json:"tokens"`
+	StreamFraction float64 `json:"streamPart"`
 	// Service and Path make it send non-repeatable requests to a plain service.
 	Service string `json:"service"`
 	Path    string `json:"path"`
--- a/load/result.go
+++ b/load/result.go
@@ -22,28 +22,28 @@
 
 // TeamResult is one team's row.
 type TeamResult struct {
-	Name     string            `json:"name"`
-	Share    float64           `json:"share"`
-	Asked    int               `json:"asked"`
-	Outcomes map[Outcome]int   `json:"outcomes"`
-	Retries  int               `json:"retries"`
-	Service  float64           `json:"serviceSeconds"`
-	First    []time.Duration   `json:"-"`
-	FirstP50 time.Duration     `json:"firstP50"`
-	FirstP99 time.Duration     `json:"firstP99"`
-	Faults   []string          `json:"faults,omitempty"`
-	keys     map[string]string // by key: the last outcome told
+	Name       string            `json:"name"`
+	Share      float64           `json:"share"`
+	Requests   int               `json:"asked"`
+	Outcomes   map[Outcome]int   `json:"outcomes"`
+	Retries    int               `json:"retries"`
+	Service    float64           `json:"serviceSeconds"`
+	Latencies  []time.Duration   `json:"-"`
+	LatencyP50 time.Duration     `json:"firstP50"`
+	LatencyP99 time.Duration     `json:"firstP99"`
+	Violations []string          `json:"faults,omitempty"`
+	keys       map[string]string // by key: the last outcome told
 }
 
 // Result is a run's whole report.
 type Result struct {
-	mu           sync.Mutex
-	Teams        []*TeamResult `json:"teams"`
-	Seconds      float64       `json:"seconds"`
-	Gap          float64       `json:"fairnessGapSeconds"`
-	ControlBytes float64       `json:"controlBytesPerNodePerSecond"`
-	Doubled      []string      `json:"doubled,omitempty"`
-	Untrue       []string      `json:"notRunThatRan,omitempty"`
+	mu                    sync.Mutex
+	Teams                 []*TeamResult `json:"teams"`
+	Seconds               float64       `json:"seconds"`
+	FairnessGap           float64       `json:"fairnessGapSeconds"`
+	ControlBytesPerSecond float64       `json:"controlBytesPerNodePerSecond"`
+	RepeatedRuns          []string      `json:"doubled,omitempty"`
+	FalseNotRun           []string      `json:"notRunThatRan,omitempty"`
 }
 
 func newResult(p *Plan) *Result {
@@ -61,17 +61,17 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := r.Teams[team]
-	t.Asked++
+	t.Requests++
 	t.Outcomes[a.outcome]++
 	t.Retries += a.retries
 	if a.outcome == Answered {
-		t.First = append(t.First, a.first)
+		t.Latencies = append(t.Latencies, a.first)
 	}
 	if a.key != "" {
 		t.keys[a.key] = string(a.outcome)
 	}
 	if a.fault != "" {
-		t.Faults = append(t.Faults, a.fault)
+		t.Violations = append(t.Violations, a.fault)
 	}
 }
 
@@ -82,28 +82,28 @@
 
 func (t *TeamResult) summarise() {
 	h := hdrhistogram.New(1, maxLatencyMicros, significant)
-	for _, d := range t.First {
+	for _, d := range t.Latencies {
 		_ = h.RecordValue(max(d.Microseconds(), 1))
 	}
-	t.FirstP50 = time.Duration(h.ValueAtQuantile(50)) * time.Microsecond
-	t.FirstP99 = time.Duration(h.ValueAtQuantile(99)) * time.Microsecond
+	t.LatencyP50 = time.Duration(h.ValueAtQuantile(50)) * time.Microsecond
+	t.LatencyP99 = time.Duration(h.ValueAtQuantile(99)) * time.Microsecond
 }
 
-// Faults lists everything that must not be.
-func (r *Result) Faults() []string {
+// Violations lists everything that must not be.
+func (r *Result) Violations() []string {
 	var all []string
 	for _, t := range r.Teams {
-		for _, f := range t.Faults {
+		for _, f := range t.Violations {
 			all = append(all, t.Name+": "+f)
 		}
-		if lost := t.Asked - sum(t.Outcomes); lost != 0 {
+		if lost := t.Requests - sum(t.Outcomes); lost != 0 {
 			all = append(all, t.Name+": requests without an outcome")
 		}
 	}
-	for _, key := range r.Doubled {
+	for _, key := range r.RepeatedRuns {
 		all = append(all, "ran more than once: "+key)
 	}
-	for _, key := range r.Untrue {
+	for _, key := range r.FalseNotRun {
 		all = append(all, "told not-run, but ran: "+key)
 	}
 	slices.Sort(all)
--- a/load/run.go
+++ b/load/run.go
@@ -28,7 +28,7 @@
 		wg.Go(func() { p.runTeam(ctx, i, result) })
 	}
 	time.Sleep(time.Duration(p.Duration))
-	result.ControlBytes = p.controlRate(before, time.Since(began))
+	result.ControlBytesPerSecond = p.controlRate(before, time.Since(began))
 	result.readService(p)
 	wg.Wait()
 	result.Seconds = time.Since(began).Seconds()
@@ -57,7 +57,7 @@
 	next := time.Now()
 	for n := uint64(0); ; n++ {
 		next = next.Add(time.Duration(rng.ExpFloat64() / t.Rate * float64(time.Second)))
-		stream := rng.Float64() < t.StreamPart
+		stream := rng.Float64() < t.StreamFraction
 		if next.After(end) {
 			break
 		}
@@ -135,7 +135,7 @@
 		}
 		low, high = min(low, weighted), max(high, weighted)
 	}
-	r.Gap = max(r.Gap, high-low)
+	r.FairnessGap = max(r.FairnessGap, high-low)
 }
 
 // checkRuns compares the services' own counts with what callers were told.
@@ -156,13 +156,13 @@
 	}
 	for key, n := range runs {
 		if n > 1 {
-			r.Doubled = append(r.Doubled, key)
+			r.RepeatedRuns = append(r.RepeatedRuns, key)
 		}
 	}
 	for _, t := range r.Teams {
 		for key, outcome := range t.keys {
 			if outcome == string(NotRun) && runs[key] > 0 {
-				r.Untrue = append(r.Untrue, key)
+				r.FalseNotRun = append(r.FalseNotRun, key)
 			}
 		}
 	}
--- a/load/table.go
+++ b/load/table.go
@@ -13,11 +13,11 @@
 	fmt.Fprintln(w, "team\tshare\tasked\tanswered\tnot run\tunknown\twrong\tretries\tservice s\tfirst p50\tfirst p99\t")
 	for _, t := range r.Teams {
 		fmt.Fprintf(w, "%s\t%g\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%v\t%v\t\n",
-			t.Name, t.Share, t.Asked, t.Outcomes[Answered], t.Outcomes[NotRun], t.Outcomes[Unknown],
+			t.Name, t.Share, t.Requests, t.Outcomes[Answered], t.Outcomes[NotRun], t.Outcomes[Unknown],
 			t.Outcomes[Wrong], t.Retries, t.Service,
-			t.FirstP50.Round(time.Millisecond/10), t.FirstP99.Round(time.Millisecond/10))
+			t.LatencyP50.Round(time.Millisecond/10), t.LatencyP99.Round(time.Millisecond/10))
 	}
 	_ = w.Flush()
 	fmt.Fprintf(out, "fairness gap %.2f slot seconds a share, control %.0f bytes a second a router, doubled %d, untrue not-run %d\n",
-		r.Gap, r.ControlBytes, len(r.Doubled), len(r.Untrue))
+		r.FairnessGap, r.ControlBytesPerSecond, len(r.RepeatedRuns), len(r.FalseNotRun))
 }
--- a/overhead/overhead.go
+++ b/overhead/overhead.go
@@ -35,11 +35,11 @@
 	Streams, Callers, Tokens int
 }
 
-// Path is what one way to the engine took.
-type Path struct {
-	Name               string
-	FirstP50, FirstP99 time.Duration
-	WholeP50, WholeP99 time.Duration
+// PathStats is what one way to the engine took.
+type PathStats struct {
+	Name                         string
+	FirstEventP50, FirstEventP99 time.Duration
+	TotalP50, TotalP99           time.Duration
 	// CPU is the process's processor time, callers and engine included.
 	CPU time.Duration
 	// Allocs counts allocations of the process.
@@ -48,13 +48,13 @@
 
 // Result is both ways and what the router adds.
 type Result struct {
-	Config              Config
-	Direct, Through     Path
-	CPUPerStream        time.Duration
-	CPUPerEvent         time.Duration
-	GoroutinesBefore    int
-	GoroutinesAfter     int
-	HeapBefore, HeapEnd float64
+	Config                      Config
+	Direct, ViaRouter           PathStats
+	CPUPerStream                time.Duration
+	CPUPerEvent                 time.Duration
+	GoroutinesBefore            int
+	GoroutinesAfter             int
+	HeapBeforeMiB, HeapAfterMiB float64
 }
 
 // world is an engine, a platform and a router in this process.
@@ -163,12 +163,12 @@
 	if r.Direct, err = run(w.engine, c); err != nil {
 		return nil, err
 	}
-	r.GoroutinesBefore, r.HeapBefore = resources()
-	if r.Through, err = run(w.router, c); err != nil {
+	r.GoroutinesBefore, r.HeapBeforeMiB = resources()
+	if r.ViaRouter, err = run(w.router, c); err != nil {
 		return nil, err
 	}
-	r.GoroutinesAfter, r.HeapEnd = resources()
-	added := max(r.Through.CPU-r.Direct.CPU, 0)
+	r.GoroutinesAfter, r.HeapAfterMiB = resources()
+	added := max(r.ViaRouter.CPU-r.Direct.CPU, 0)
 	r.CPUPerStream = added / time.Duration(c.Streams)
 	r.CPUPerEvent = added / time.Duration(c.Streams*c.Tokens)
 	return r, nil
@@ -187,7 +187,7 @@
 }
 
 // run sends the streams to one base URL.
-func run(base string, c Config) (Path, error) {
+func run(base string, c Config) (PathStats, error) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: c.Callers}}
 	defer client.CloseIdleConnections()
 	var mu sync.Mutex
@@ -209,9 +209,9 @@
 		})
 	}
 	wg.Wait()
-	p := Path{Name: base, CPU: processorTime() - before, Allocs: mallocs() - allocs}
-	p.FirstP50, p.FirstP99 = quantile(firsts, 0.5), quantile(firsts, 0.99)
-	p.WholeP50, p.WholeP99 = quantile(wholes, 0.5), quantile(wholes, 0.99)
+	p := PathStats{Name: base, CPU: processorTime() - before, Allocs: mallocs() - allocs}
+	p.FirstEventP50, p.FirstEventP99 = quantile(firsts, 0.5), quantile(firsts, 0.99)
+	p.TotalP50, p.TotalP99 = quantile(wholes, 0.5), quantile(wholes, 0.99)
 	return p, failed
 }
 
@@ -264,14 +264,14 @@
 // Print writes the result as text.
 func (r *Result) Print(out io.Writer) {
 	fmt.Fprintf(out, "%d streams of %d events, %d at once\n", r.Config.Streams, r.Config.Tokens, r.Config.Callers)
-	for _, p := range []Path{r.Direct, r.Through} {
+	for _, p := range []PathStats{r.Direct, r.ViaRouter} {
 		fmt.Fprintf(out, "%-24s first event p50 %v p99 %v, whole p50 %v p99 %v, processor %v, allocations %d\n",
-			p.Name, p.FirstP50, p.FirstP99, p.WholeP50, p.WholeP99, p.CPU.Round(time.Millisecond), p.Allocs)
+			p.Name, p.FirstEventP50, p.FirstEventP99, p.TotalP50, p.TotalP99, p.CPU.Round(time.Millisecond), p.Allocs)
 	}
 	fmt.Fprintf(out, "the router adds: first event p50 %v p99 %v, whole p50 %v p99 %v, processor %v a stream, %v an event, %d allocations a stream\n",
-		r.Through.FirstP50-r.Direct.FirstP50, r.Through.FirstP99-r.Direct.FirstP99,
-		r.Through.WholeP50-r.Direct.WholeP50, r.Through.WholeP99-r.Direct.WholeP99,
-		r.CPUPerStream, r.CPUPerEvent, (r.Through.Allocs-r.Direct.Allocs)/uint64(r.Config.Streams))
+		r.ViaRouter.FirstEventP50-r.Direct.FirstEventP50, r.ViaRouter.FirstEventP99-r.Direct.FirstEventP99,
+		r.ViaRouter.TotalP50-r.Direct.TotalP50, r.ViaRouter.TotalP99-r.Direct.TotalP99,
+		r.CPUPerStream, r.CPUPerEvent, (r.ViaRouter.Allocs-r.Direct.Allocs)/uint64(r.Config.Streams))
 	fmt.Fprintf(out, "goroutines %d before, %d after; heap %.1f MB before, %.1f MB after\n",
-		r.GoroutinesBefore, r.GoroutinesAfter, r.HeapBefore, r.HeapEnd)
+		r.GoroutinesBefore, r.GoroutinesAfter, r.HeapBeforeMiB, r.HeapAfterMiB)
 }
