--- a/load/attempt.go
+++ b/load/attempt.go
@@ -17,13 +17,17 @@
 	"github.com/aspenswitch/aspenswitch/standin"
 )
 
-// attempt is one request and what came of it.
-type attempt struct {
+// requestResult is the result of one request over all its attempts.
+type requestResult struct {
 	outcome Outcome
-	first   time.Duration
+	// latency is measured from the first attempt to the first event of a stream, or
+	// to the end of any other response.
+	latency time.Duration
 	retries int
-	key     string
-	fault   string
+	// key is the idempotency key, empty for repeatable requests.
+	key string
+	// violation describes a wrong response, or why the request could not be built.
+	violation string
 }
 
 // caller sends one team's requests.
@@ -32,81 +36,84 @@
 	http *http.Client
 	// routers are the base URLs in the order in which they are tried.
 	routers []string
-	// sticky callers begin with the first router each time.
+	// sticky starts every request at the first router instead of rotating.
 	sticky bool
 }
 
-// tries is how often a caller sends a request before it gives up; a router that
-// is down takes one.
-const tries = 8
+// maxAttempts limits how often a request is sent. An attempt at a router that is
+// down counts.
+const maxAttempts = 8
 
-// do sends a request until it is answered or given up.
-func (c *caller) do(ctx context.Context, n uint64, stream bool) attempt {
-	began := time.Now()
-	a := attempt{outcome: Unknown}
+// do sends the team's n-th request until it is answered, its outcome is final, or
+// maxAttempts is reached.
+func (c *caller) do(ctx context.Context, n uint64, stream bool) requestResult {
+	start := time.Now()
+	res := requestResult{outcome: Unknown}
 	if c.team.Service != "" {
-		a.key = uuid.Must(uuid.NewV7()).String()
+		res.key = uuid.Must(uuid.NewV7()).String()
 	}
-	for try := range tries {
-		var again bool
-		a, again = c.once(ctx, a, c.router(n, try), n, stream, began)
-		if !again || ctx.Err() != nil {
-			return a
+	for attempt := range maxAttempts {
+		var retry bool
+		res, retry = c.attempt(ctx, res, c.routerFor(n, attempt), n, stream, start)
+		if !retry || ctx.Err() != nil {
+			return res
 		}
-		a.retries++
+		res.retries++
 	}
-	return a
+	return res
 }
 
-// router is where the request's n-th try goes.
-func (c *caller) router(n uint64, try int) string {
+// routerFor returns the base URL for the given attempt of the n-th request.
+func (c *caller) routerFor(n uint64, attempt int) string {
 	if c.sticky {
 		n = 0
 	}
-	return c.routers[(int(n)+try)%len(c.routers)]
+	return c.routers[(int(n)+attempt)%len(c.routers)]
 }
 
-// once sends a request to one router. again asks for another try: a refused
-// request after the time it was told, a lost one with its key or if it may be
-// repeated.
-func (c *caller) once(ctx context.Context, a attempt, router string, n uint64, stream bool, began time.Time) (attempt, bool) {
-	a.outcome = Unknown
-	req, err := c.request(ctx, router, a.key, n, stream)
+// attempt sends the request to one router. It reports whether to retry: a refused
+// request is retried after its Retry-After, and a lost one because it carries an
+// idempotency key or is repeatable.
+func (c *caller) attempt(ctx context.Context, res requestResult, router string, n uint64, stream bool, start time.Time) (requestResult, bool) {
+	res.outcome = Unknown
+	req, err := c.newRequest(ctx, router, res.key, n, stream)
 	if err != nil {
-		a.fault = err.Error()
-		return a, false
+		res.violation = err.Error()
+		return res, false
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return a, sleep(ctx, 20*time.Millisecond)
+		return res, sleep(ctx, 20*time.Millisecond)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode >= http.StatusBadRequest {
-		return c.refusal(ctx, a, resp)
+		return c.handleErrorResponse(ctx, res, resp)
 	}
-	return c.answer(a, resp, n, stream, began)
+	return c.checkResponse(res, resp, n, stream, start)
 }
 
-// refusal reads an error answer.
-func (c *caller) refusal(ctx context.Context, a attempt, resp *http.Response) (attempt, bool) {
+// handleErrorResponse records the outcome of an error response. If the response has a
+// Retry-After, it waits for that time and then reports that the request is to be retried.
+func (c *caller) handleErrorResponse(ctx context.Context, res requestResult, resp *http.Response) (requestResult, bool) {
 	switch resp.Header.Get("Aspenswitch-Outcome") {
 	case "not-run":
-		a.outcome = NotRun
+		res.outcome = NotRun
 	case "unknown":
 	default:
-		a.outcome, a.fault = Wrong, "error without outcome: "+resp.Status
-		return a, false
+		res.outcome, res.violation = Wrong, "error response without a valid Aspenswitch-Outcome header: "+resp.Status
+		return res, false
 	}
-	after, err := strconv.Atoi(resp.Header.Get("Retry-After"))
+	retryAfter, err := strconv.Atoi(resp.Header.Get("Retry-After"))
 	if err != nil {
-		if a.outcome == NotRun {
-			a.outcome, a.fault = Wrong, "not-run without Retry-After: "+resp.Status
+		if res.outcome == NotRun {
+			res.outcome, res.violation = Wrong, "not-run response without a valid Retry-After header: "+resp.Status
 		}
-		return a, false
+		return res, false
 	}
-	return a, sleep(ctx, time.Duration(after)*time.Second)
+	return res, sleep(ctx, time.Duration(retryAfter)*time.Second)
 }
 
+// sleep reports false if ctx ends before d has passed.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
@@ -118,7 +125,7 @@
 
 func (c *caller) prompt(n uint64) string { return fmt.Sprintf("%s plan %d", c.team.Name, n) }
 
-func (c *caller) request(ctx context.Context, router, key string, n uint64, stream bool) (*http.Request, error) {
+func (c *caller) newRequest(ctx context.Context, router, key string, n uint64, stream bool) (*http.Request, error) {
 	url := router + "/v1/completions"
 	body, err := json.Marshal(map[string]any{
 		"model": c.team.Model, "prompt": c.prompt(n), "max_tokens": c.team.Tokens, "stream": stream,
@@ -137,53 +144,54 @@
 	req.Header.Set("Authorization", "Bearer "+c.team.Key)
 	if key != "" {
 		req.Header.Set("Idempotency-Key", key)
-		// Without GetBody net/http can't send the request again by itself.
+		// net/http treats requests with an idempotency key as replayable; without
+		// GetBody it can't send them again on its own.
 		req.GetBody = nil
 	}
 	return req, nil
 }
 
-// answer checks an answer against what was asked.
-func (c *caller) answer(a attempt, resp *http.Response, n uint64, stream bool, began time.Time) (attempt, bool) {
+// checkResponse checks a successful response against the n-th request.
+func (c *caller) checkResponse(res requestResult, resp *http.Response, n uint64, stream bool, start time.Time) (requestResult, bool) {
 	var text string
 	var err error
 	switch {
 	case c.team.Service != "":
-		return c.booking(a, resp, n, began)
+		return c.checkBooking(res, resp, n, start)
 	case stream:
-		text, a.first, err = readStream(resp.Body, began)
+		text, res.latency, err = readStream(resp.Body, start)
 	default:
-		text, err = readWhole(resp.Body)
-		a.first = time.Since(began)
+		text, err = readCompletion(resp.Body)
+		res.latency = time.Since(start)
 	}
 	if err != nil {
-		// A repeatable request whose answer broke is asked again.
-		return a, true
+		// The request is repeatable, so it is retried after an incomplete response.
+		return res, true
 	}
-	if want := c.want(n); text != want {
-		a.outcome, a.fault = Wrong, fmt.Sprintf("answer %q, want %q", text, want)
-		return a, false
+	if want := c.wantText(n); text != want {
+		res.outcome, res.violation = Wrong, fmt.Sprintf("response text %q, want %q", text, want)
+		return res, false
 	}
-	a.outcome = Answered
-	return a, false
+	res.outcome = Answered
+	return res, false
 }
 
-func (c *caller) booking(a attempt, resp *http.Response, n uint64, began time.Time) (attempt, bool) {
+func (c *caller) checkBooking(res requestResult, resp *http.Response, n uint64, start time.Time) (requestResult, bool) {
 	var b standin.Booking
 	if err := json.NewDecoder(resp.Body).Decode(&b); err != nil {
-		return a, true
+		return res, true
 	}
-	a.first = time.Since(began)
-	if b.Key != a.key || b.Run != 1 || b.Body != c.prompt(n) || b.Path != c.team.Path {
-		a.outcome, a.fault = Wrong, fmt.Sprintf("booking %+v for key %s", b, a.key)
-		return a, false
+	res.latency = time.Since(start)
+	if b.Key != res.key || b.Run != 1 || b.Body != c.prompt(n) || b.Path != c.team.Path {
+		res.outcome, res.violation = Wrong, fmt.Sprintf("unexpected booking %+v for key %s", b, res.key)
+		return res, false
 	}
-	a.outcome = Answered
-	return a, false
+	res.outcome = Answered
+	return res, false
 }
 
-// want is the text that the stand-in engine answers with.
-func (c *caller) want(n uint64) string {
+// wantText returns the text that the stand-in engine generates for the n-th request.
+func (c *caller) wantText(n uint64) string {
 	quoted, err := json.Marshal(c.prompt(n))
 	if err != nil {
 		return ""
@@ -195,46 +203,48 @@
 	return text.String()
 }
 
-// content is what is read of an answer of the API.
-type content struct {
+// completion is the part of a completion response, or of one event of its stream,
+// that is checked.
+type completion struct {
 	Choices []struct {
 		Delta   struct{ Content string } `json:"delta"`
 		Message struct{ Content string } `json:"message"`
 	} `json:"choices"`
 }
 
-func readWhole(body io.Reader) (string, error) {
-	var c content
+func readCompletion(body io.Reader) (string, error) {
+	var c completion
 	if err := json.NewDecoder(body).Decode(&c); err != nil {
 		return "", err
 	}
 	if len(c.Choices) == 0 {
-		return "", Error.New("answer without choices")
+		return "", Error.New("response without choices")
 	}
 	return c.Choices[0].Message.Content, nil
 }
 
-// readStream reads to the last event; a stream that ends before it is an error.
-func readStream(body io.Reader, began time.Time) (string, time.Duration, error) {
+// readStream reads events up to [DONE] and returns their text and the time from start
+// to the first event. A stream that ends before [DONE] is an error.
+func readStream(body io.Reader, start time.Time) (string, time.Duration, error) {
 	var text strings.Builder
 	var first time.Duration
-	in := bufio.NewScanner(body)
-	for in.Scan() {
-		data, ok := strings.CutPrefix(in.Text(), "data: ")
+	scanner := bufio.NewScanner(body)
+	for scanner.Scan() {
+		data, ok := strings.CutPrefix(scanner.Text(), "data: ")
 		if !ok {
 			continue
 		}
 		if data == "[DONE]" {
 			return text.String(), first, nil
 		}
-		var c content
+		var c completion
 		if err := json.Unmarshal([]byte(data), &c); err != nil || len(c.Choices) == 0 {
-			return "", 0, Error.New("error event: %s", data)
+			return "", 0, Error.New("error or invalid event in the stream: %s", data)
 		}
 		if first == 0 {
-			first = time.Since(began)
+			first = time.Since(start)
 		}
 		text.WriteString(c.Choices[0].Delta.Content)
 	}
-	return "", 0, Error.New("stream ended early")
+	return "", 0, Error.New("stream ended before the [DONE] event")
 }
--- a/load/check.go
+++ b/load/check.go
@@ -6,8 +6,8 @@
 	"github.com/aspenswitch/aspenswitch/jsonc"
 )
 
-// maxRate bounds a team's requests a second: the load goes to loopback only.
-const maxRate = 5000
+// maxRequestsPerSecond bounds the rate of one team, since the load goes to loopback only.
+const maxRequestsPerSecond = 5000
 
 func (p *Plan) checkTeam(doc *jsonc.Document, i int, t Team) {
 	at := fmt.Sprintf("/teams/%d", i)
@@ -17,8 +17,8 @@
 	if (t.Model == "") == (t.Service == "") {
 		doc.Add(at, "must have either a model or a service")
 	}
-	if !(t.Rate > 0 && t.Rate <= maxRate) {
-		doc.Add(at+"/rate", "must be more than 0 and at most %d", maxRate)
+	if !(t.Rate > 0 && t.Rate <= maxRequestsPerSecond) {
+		doc.Add(at+"/rate", "must be more than 0 and at most %d", maxRequestsPerSecond)
 	}
 	if t.Router < 0 || t.Router > len(p.Routers) {
 		doc.Add(at+"/router", "must be from 0 to %d", len(p.Routers))
--- a/load/plan.go
+++ b/load/plan.go
@@ -12,34 +12,38 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("load")
 
-// Plan is a load, read from JSON with comments.
+// Plan describes a load. It is read from JSON with comments.
 type Plan struct {
-	// Routers are the callers' base URLs, Admins the operators', with one token.
-	Routers    []string       `json:"routers"`
-	Admins     []string       `json:"admins"`
-	AdminToken string         `json:"adminToken"`
-	Services   []string       `json:"services"`
-	Duration   jsonc.Duration `json:"duration"`
-	Seed       uint64         `json:"seed"`
-	Teams      []Team         `json:"teams"`
+	// Routers are the base URLs of the routers' listeners for callers, Admins those of
+	// their operators' API, which all accept AdminToken.
+	Routers    []string `json:"routers"`
+	Admins     []string `json:"admins"`
+	AdminToken string   `json:"adminToken"`
+	// Services are the base URLs of the stand-in services, whose run counts are checked.
+	Services []string       `json:"services"`
+	Duration jsonc.Duration `json:"duration"`
+	Seed     uint64         `json:"seed"`
+	Teams    []Team         `json:"teams"`
 }
 
-// Team is one team's part.
+// Team describes the requests of one team.
 type Team struct {
 	Name string `json:"name"`
 	Key  string `json:"key"`
-	// Share is what the bundle owes the team.
+	// Share is the team's share according to the bundle.
 	Share float64 `json:"share"`
-	// Rate is how many requests it sends a second.
+	// Rate is the mean number of requests per second.
 	Rate float64 `json:"rate"`
-	// Model makes it ask a model for Tokens tokens, StreamFraction of them as streams.
+	// Model selects completion requests for Tokens tokens each. StreamFraction, from 0
+	// to 1, is the fraction of requests that ask for a stream.
 	Model          string  `json:"model"`
 	Tokens         int     `json:"tokens"`
 	StreamFraction float64 `json:"streamPart"`
-	// Service and Path make it send non-repeatable requests to a plain service.
+	// Service and Path select non-repeatable requests to a plain service.
 	Service string `json:"service"`
 	Path    string `json:"path"`
-	// Router is the only router it uses, counted from 1; 0 for all.
+	// Router is the index, counted from 1, of the router that every request is sent to
+	// first; the others are tried only on a retry. 0 rotates over all routers.
 	Router int `json:"router"`
 }
 
--- a/load/run.go
+++ b/load/run.go
@@ -12,35 +12,36 @@
 	"github.com/aspenswitch/aspenswitch/sched"
 )
 
-// drainTime is how long callers may still wait for answers after the last
-// request was sent.
-const drainTime = 30 * time.Second
+// drainTimeout is how long callers wait for outstanding responses after the plan's
+// duration has passed.
+const drainTimeout = 30 * time.Second
 
-// Run sends the plan's load and returns the checked report.
+// Run sends the plan's load and returns the results, checked against the run counts
+// of the services.
 func Run(ctx context.Context, p *Plan) *Result {
 	result := newResult(p)
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(p.Duration)+drainTime)
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(p.Duration)+drainTimeout)
 	defer cancel()
-	before := p.controlBytes()
-	began := time.Now()
+	before := p.routerStatuses()
+	start := time.Now()
 	var wg sync.WaitGroup
 	for i := range p.Teams {
 		wg.Go(func() { p.runTeam(ctx, i, result) })
 	}
 	time.Sleep(time.Duration(p.Duration))
-	result.ControlBytesPerSecond = p.controlRate(before, time.Since(began))
-	result.readService(p)
+	result.ControlBytesPerSecond = p.peerBytesPerSecond(before, time.Since(start))
+	result.readFairness(p)
 	wg.Wait()
-	result.Seconds = time.Since(began).Seconds()
+	result.Seconds = time.Since(start).Seconds()
 	result.checkRuns(p)
 	for _, t := range result.Teams {
-		t.summarise()
+		t.summarize()
 	}
 	return result
 }
 
-// runTeam sends requests at random times of the team's rate, whether earlier
-// ones are answered or not.
+// runTeam sends the team's requests as an open-loop Poisson process: a request is
+// sent at its time whether or not earlier ones have been answered.
 func (p *Plan) runTeam(ctx context.Context, team int, result *Result) {
 	t := p.Teams[team]
 	rng := rand.New(rand.NewPCG(p.Seed, uint64(team)))
@@ -67,9 +68,10 @@
 	wg.Wait()
 }
 
-// adminGet reads from every operators' API that answers.
+// adminGet reads path from the operators' API of each router and returns the decoded
+// responses by base URL. Routers without a valid response are left out.
 func adminGet[T any](p *Plan, path string) map[string]T {
-	all := map[string]T{}
+	responses := map[string]T{}
 	client := &http.Client{Timeout: 2 * time.Second}
 	for _, base := range p.Admins {
 		req, err := http.NewRequest(http.MethodGet, base+path, nil)
@@ -83,19 +85,21 @@
 		}
 		var v T
 		if json.NewDecoder(resp.Body).Decode(&v) == nil {
-			all[base] = v
+			responses[base] = v
 		}
 		_ = resp.Body.Close()
 	}
-	return all
+	return responses
 }
 
-func (p *Plan) controlBytes() map[string]admin.Status { return adminGet[admin.Status](p, "/status") }
+func (p *Plan) routerStatuses() map[string]admin.Status { return adminGet[admin.Status](p, "/status") }
 
-// controlRate is the mean of the routers' bytes to peers a second.
-func (p *Plan) controlRate(before map[string]admin.Status, took time.Duration) float64 {
+// peerBytesPerSecond returns the mean rate at which a router has sent bytes to its peers
+// since the statuses in before were read. Routers that restarted in between or don't
+// respond are left out.
+func (p *Plan) peerBytesPerSecond(before map[string]admin.Status, elapsed time.Duration) float64 {
 	sum, routers := 0.0, 0
-	for base, s := range p.controlBytes() {
+	for base, s := range p.routerStatuses() {
 		if b, ok := before[base]; ok && s.PeerBytes >= b.PeerBytes {
 			sum += float64(s.PeerBytes - b.PeerBytes)
 			routers++
@@ -104,21 +108,23 @@
 	if routers == 0 {
 		return 0
 	}
-	return sum / float64(routers) / took.Seconds()
+	return sum / float64(routers) / elapsed.Seconds()
 }
 
-// readService takes the teams' service from a router's accounts, and the gap
-// between those that wait.
-func (r *Result) readService(p *Plan) {
+// readFairness reads the teams' service from the accounts of one router that responds,
+// and the fairness gap between teams with waiting requests.
+func (r *Result) readFairness(p *Plan) {
 	for _, pools := range adminGet[[]sched.PoolDump](p, "/teams") {
 		for _, pool := range pools {
-			r.poolService(pool)
+			r.addPool(pool)
 		}
 		return
 	}
 }
 
-func (r *Result) poolService(pool sched.PoolDump) {
+// addPool adds the service of the pool's teams, which are matched by position to the
+// teams of the plan, and raises the fairness gap to that of the pool.
+func (r *Result) addPool(pool sched.PoolDump) {
 	low, high := 0.0, 0.0
 	found := false
 	for i, t := range pool.Teams {
@@ -129,16 +135,17 @@
 		if t.Waiting == 0 {
 			continue
 		}
-		weighted := (t.Service + t.Lift) / r.Teams[i].Share
+		normalized := (t.Service + t.Lift) / r.Teams[i].Share
 		if !found {
-			low, high, found = weighted, weighted, true
+			low, high, found = normalized, normalized, true
 		}
-		low, high = min(low, weighted), max(high, weighted)
+		low, high = min(low, normalized), max(high, normalized)
 	}
 	r.FairnessGap = max(r.FairnessGap, high-low)
 }
 
-// checkRuns compares the services' own counts with what callers were told.
+// checkRuns compares the services' own run counts with the outcomes that callers
+// received: no key may run twice, and none that was reported as not run may have run.
 func (r *Result) checkRuns(p *Plan) {
 	runs := map[string]int{}
 	for _, base := range p.Services {
@@ -146,9 +153,9 @@
 		if err != nil {
 			continue
 		}
-		var one map[string]int
-		if json.NewDecoder(resp.Body).Decode(&one) == nil {
-			for key, n := range one {
+		var counts map[string]int
+		if json.NewDecoder(resp.Body).Decode(&counts) == nil {
+			for key, n := range counts {
 				runs[key] += n
 			}
 		}
@@ -160,7 +167,7 @@
 		}
 	}
 	for _, t := range r.Teams {
-		for key, outcome := range t.keys {
+		for key, outcome := range t.outcomeByKey {
 			if outcome == string(NotRun) && runs[key] > 0 {
 				r.FalseNotRun = append(r.FalseNotRun, key)
 			}
--- a/load/table.go
+++ b/load/table.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Print writes the report as tables.
+// Print writes the results as a table by team, followed by a summary line.
 func (r *Result) Print(out io.Writer) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "team\tshare\tasked\tanswered\tnot run\tunknown\twrong\tretries\tservice s\tfirst p50\tfirst p99\t")
+	fmt.Fprintln(w, "team\tshare\trequests\tanswered\tnot run\tunknown\twrong\tretries\tservice s\tlatency p50\tlatency p99\t")
 	for _, t := range r.Teams {
 		fmt.Fprintf(w, "%s\t%g\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%v\t%v\t\n",
 			t.Name, t.Share, t.Requests, t.Outcomes[Answered], t.Outcomes[NotRun], t.Outcomes[Unknown],
@@ -18,6 +18,6 @@
 			t.LatencyP50.Round(time.Millisecond/10), t.LatencyP99.Round(time.Millisecond/10))
 	}
 	_ = w.Flush()
-	fmt.Fprintf(out, "fairness gap %.2f slot seconds a share, control %.0f bytes a second a router, doubled %d, untrue not-run %d\n",
+	fmt.Fprintf(out, "fairness gap %.2f slot seconds per share, control traffic %.0f bytes per second per router, keys run more than once %d, keys run despite not-run %d\n",
 		r.FairnessGap, r.ControlBytesPerSecond, len(r.RepeatedRuns), len(r.FalseNotRun))
 }
