--- a/overhead/doc.go
+++ b/overhead/doc.go
@@ -1,3 +1,4 @@
-// Package overhead measures what one router adds to a request: the same streams
-// go straight to a stand-in engine and through a router, in one run on loopback.
+// Package overhead measures the latency, CPU time and memory that one router adds to a
+// request: the same streams are sent directly to a stand-in engine and through a router,
+// in one run on loopback.
 package overhead
--- a/overhead/overhead.go
+++ b/overhead/overhead.go
@@ -31,41 +31,44 @@
 
 // Config is the size of a measurement.
 type Config struct {
-	// Streams are sent by Callers at once, each of Tokens events.
+	// Streams is the number of streams per path, sent by Callers concurrent callers.
+	// Each stream has Tokens events.
 	Streams, Callers, Tokens int
 }
 
-// PathStats is what one way to the engine took.
+// PathStats holds the latencies and the resource usage of one path to the engine.
 type PathStats struct {
 	Name                         string
 	FirstEventP50, FirstEventP99 time.Duration
 	TotalP50, TotalP99           time.Duration
-	// CPU is the process's processor time, callers and engine included.
+	// CPU is the CPU time of the process, which includes callers and engine.
 	CPU time.Duration
-	// Allocs counts allocations of the process.
+	// Allocs is the number of heap allocations of the process.
 	Allocs uint64
 }
 
-// Result is both ways and what the router adds.
+// Result holds the measurements of both paths and the CPU time that the router adds.
 type Result struct {
-	Config                      Config
-	Direct, ViaRouter           PathStats
-	CPUPerStream                time.Duration
-	CPUPerEvent                 time.Duration
+	Config            Config
+	Direct, ViaRouter PathStats
+	CPUPerStream      time.Duration
+	CPUPerEvent       time.Duration
+	// Goroutines and heap are sampled before and after the streams through the router.
 	GoroutinesBefore            int
 	GoroutinesAfter             int
 	HeapBeforeMiB, HeapAfterMiB float64
 }
 
-// world is an engine, a platform and a router in this process.
-type world struct {
+// testbed runs a stand-in engine, a stand-in platform and a router in this process.
+type testbed struct {
+	// engine and router are base URLs.
 	engine, router string
 	stop           func()
 }
 
 const teamKey = "overhead"
 
-func newWorld(slots int) (*world, error) {
+func newTestbed(slots int) (*testbed, error) {
 	engine := standin.NewEngine(standin.EngineConfig{Slots: slots, CachedPrompts: 1})
 	engineAddr, stopEngine := serve(engine.Handler())
 	b := bundle.Bundle{
@@ -110,13 +113,13 @@
 		defer close(done)
 		_ = d.Run(ctx)
 	}()
-	w := &world{engine: "http://" + engineAddr, router: "http://" + d.Addresses().Callers, stop: func() {
+	tb := &testbed{engine: "http://" + engineAddr, router: "http://" + d.Addresses().Callers, stop: func() {
 		cancel()
 		<-done
 		stopPlatform()
 		stopEngine()
 	}}
-	return w, w.await()
+	return tb, tb.waitReady()
 }
 
 func serve(h http.Handler) (string, func()) {
@@ -129,12 +132,12 @@
 	return l.Addr().String(), func() { _ = s.Close() }
 }
 
-// readyWithin is how long the router may take to be ready.
-const readyWithin = 10 * time.Second
+// readyTimeout is how long the router may take to become ready.
+const readyTimeout = 10 * time.Second
 
-func (w *world) await() error {
-	for end := time.Now().Add(readyWithin); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		resp, err := http.Get(w.router + "/readyz")
+func (tb *testbed) waitReady() error {
+	for deadline := time.Now().Add(readyTimeout); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
+		resp, err := http.Get(tb.router + "/readyz")
 		if err != nil {
 			continue
 		}
@@ -146,39 +149,42 @@
 	return Error.New("the router did not become ready")
 }
 
-// Measure runs both ways, the direct one first.
+// Measure warms up both paths and then measures them, the direct one first.
 func Measure(c Config) (*Result, error) {
-	w, err := newWorld(2 * c.Callers)
+	tb, err := newTestbed(2 * c.Callers)
 	if err != nil {
 		return nil, err
 	}
-	defer w.stop()
+	defer tb.stop()
 	r := &Result{Config: c}
-	warm := Config{Streams: c.Callers * 20, Callers: c.Callers, Tokens: c.Tokens}
-	for _, base := range []string{w.engine, w.router} {
-		if _, err := run(base, warm); err != nil {
+	warmup := Config{Streams: c.Callers * 20, Callers: c.Callers, Tokens: c.Tokens}
+	for _, base := range []string{tb.engine, tb.router} {
+		if _, err := sendStreams(base, warmup); err != nil {
 			return nil, err
 		}
 	}
-	if r.Direct, err = run(w.engine, c); err != nil {
+	if r.Direct, err = sendStreams(tb.engine, c); err != nil {
 		return nil, err
 	}
-	r.GoroutinesBefore, r.HeapBeforeMiB = resources()
-	if r.ViaRouter, err = run(w.router, c); err != nil {
+	r.GoroutinesBefore, r.HeapBeforeMiB = resourceUsage()
+	if r.ViaRouter, err = sendStreams(tb.router, c); err != nil {
 		return nil, err
 	}
-	r.GoroutinesAfter, r.HeapAfterMiB = resources()
+	r.GoroutinesAfter, r.HeapAfterMiB = resourceUsage()
 	added := max(r.ViaRouter.CPU-r.Direct.CPU, 0)
 	r.CPUPerStream = added / time.Duration(c.Streams)
 	r.CPUPerEvent = added / time.Duration(c.Streams*c.Tokens)
 	return r, nil
 }
 
+// settleTime is how long resourceUsage waits before it samples. It is longer than the
+// five seconds for which the stand-in engine keeps finished streams.
 const settleTime = 6 * time.Second
 
-func resources() (goroutines int, heapMB float64) {
+// resourceUsage returns the number of goroutines and the heap in use after a garbage
+// collection.
+func resourceUsage() (goroutines int, heapMiB float64) {
 	http.DefaultClient.CloseIdleConnections()
-	// The stand-in engine forgets finished streams after five seconds.
 	time.Sleep(settleTime)
 	runtime.GC()
 	var m runtime.MemStats
@@ -186,33 +192,34 @@
 	return runtime.NumGoroutine(), float64(m.HeapAlloc) / (1 << 20)
 }
 
-// run sends the streams to one base URL.
-func run(base string, c Config) (PathStats, error) {
+// sendStreams sends the configured streams to one base URL and returns the measurements
+// and the last error.
+func sendStreams(base string, c Config) (PathStats, error) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: c.Callers}}
 	defer client.CloseIdleConnections()
 	var mu sync.Mutex
-	var firsts, wholes []time.Duration
-	var failed error
+	var firstEvents, totals []time.Duration
+	var lastErr error
 	var wg sync.WaitGroup
-	before, allocs := processorTime(), mallocs()
+	cpuBefore, allocsBefore := cpuTime(), mallocs()
 	for range c.Callers {
 		wg.Go(func() {
 			for range c.Streams / c.Callers {
-				first, whole, err := stream(client, base, c.Tokens)
+				first, total, err := stream(client, base, c.Tokens)
 				mu.Lock()
-				firsts, wholes = append(firsts, first), append(wholes, whole)
+				firstEvents, totals = append(firstEvents, first), append(totals, total)
 				if err != nil {
-					failed = err
+					lastErr = err
 				}
 				mu.Unlock()
 			}
 		})
 	}
 	wg.Wait()
-	p := PathStats{Name: base, CPU: processorTime() - before, Allocs: mallocs() - allocs}
-	p.FirstEventP50, p.FirstEventP99 = quantile(firsts, 0.5), quantile(firsts, 0.99)
-	p.TotalP50, p.TotalP99 = quantile(wholes, 0.5), quantile(wholes, 0.99)
-	return p, failed
+	p := PathStats{Name: base, CPU: cpuTime() - cpuBefore, Allocs: mallocs() - allocsBefore}
+	p.FirstEventP50, p.FirstEventP99 = quantile(firstEvents, 0.5), quantile(firstEvents, 0.99)
+	p.TotalP50, p.TotalP99 = quantile(totals, 0.5), quantile(totals, 0.99)
+	return p, lastErr
 }
 
 func mallocs() uint64 {
@@ -221,7 +228,7 @@
 	return m.Mallocs
 }
 
-func processorTime() time.Duration {
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
@@ -229,49 +236,50 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-func quantile(d []time.Duration, q float64) time.Duration {
-	slices.Sort(d)
-	return d[min(int(q*float64(len(d))), len(d)-1)]
+func quantile(samples []time.Duration, q float64) time.Duration {
+	slices.Sort(samples)
+	return samples[min(int(q*float64(len(samples))), len(samples)-1)]
 }
 
-// stream sends one request and reads its events to the last.
-func stream(client *http.Client, base string, tokens int) (first, whole time.Duration, err error) {
+// stream sends one request and reads its events to the last. It returns the time to the
+// first event and to the end of the stream.
+func stream(client *http.Client, base string, tokens int) (first, total time.Duration, err error) {
 	body := fmt.Sprintf(`{"model":"m","prompt":"overhead","max_tokens":%d,"stream":true}`, tokens)
 	req, err := http.NewRequest(http.MethodPost, base+"/v1/completions", strings.NewReader(body))
 	if err != nil {
 		return 0, 0, Error.Wrap(err)
 	}
 	req.Header.Set("Authorization", "Bearer "+teamKey)
-	began := time.Now()
+	start := time.Now()
 	resp, err := client.Do(req)
 	if err != nil {
 		return 0, 0, Error.Wrap(err)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	in := bufio.NewReader(resp.Body)
-	line, err := in.ReadBytes('\n')
-	first = time.Since(began)
+	reader := bufio.NewReader(resp.Body)
+	line, err := reader.ReadBytes('\n')
+	first = time.Since(start)
 	for err == nil && !bytes.Contains(line, []byte("[DONE]")) {
-		line, err = in.ReadBytes('\n')
+		line, err = reader.ReadBytes('\n')
 	}
 	if err != nil {
-		return 0, 0, Error.New("stream ended early: %v", err)
+		return 0, 0, Error.New("stream ended before the [DONE] event: %v", err)
 	}
-	_, _ = io.Copy(io.Discard, in)
-	return first, time.Since(began), nil
+	_, _ = io.Copy(io.Discard, reader)
+	return first, time.Since(start), nil
 }
 
-// Print writes the result as text.
+// Print writes the results as text.
 func (r *Result) Print(out io.Writer) {
-	fmt.Fprintf(out, "%d streams of %d events, %d at once\n", r.Config.Streams, r.Config.Tokens, r.Config.Callers)
+	fmt.Fprintf(out, "%d streams of %d events, %d concurrent\n", r.Config.Streams, r.Config.Tokens, r.Config.Callers)
 	for _, p := range []PathStats{r.Direct, r.ViaRouter} {
-		fmt.Fprintf(out, "%-24s first event p50 %v p99 %v, whole p50 %v p99 %v, processor %v, allocations %d\n",
+		fmt.Fprintf(out, "%-24s first event p50 %v p99 %v, whole stream p50 %v p99 %v, CPU time %v, allocations %d\n",
 			p.Name, p.FirstEventP50, p.FirstEventP99, p.TotalP50, p.TotalP99, p.CPU.Round(time.Millisecond), p.Allocs)
 	}
-	fmt.Fprintf(out, "the router adds: first event p50 %v p99 %v, whole p50 %v p99 %v, processor %v a stream, %v an event, %d allocations a stream\n",
+	fmt.Fprintf(out, "the router adds: first event p50 %v p99 %v, whole stream p50 %v p99 %v, CPU time %v per stream, %v per event, %d allocations per stream\n",
 		r.ViaRouter.FirstEventP50-r.Direct.FirstEventP50, r.ViaRouter.FirstEventP99-r.Direct.FirstEventP99,
 		r.ViaRouter.TotalP50-r.Direct.TotalP50, r.ViaRouter.TotalP99-r.Direct.TotalP99,
 		r.CPUPerStream, r.CPUPerEvent, (r.ViaRouter.Allocs-r.Direct.Allocs)/uint64(r.Config.Streams))
-	fmt.Fprintf(out, "goroutines %d before, %d after; heap %.1f MB before, %.1f MB after\n",
+	fmt.Fprintf(out, "goroutines %d before, %d after; heap %.1f MiB before, %.1f MiB after\n",
 		r.GoroutinesBefore, r.GoroutinesAfter, r.HeapBeforeMiB, r.HeapAfterMiB)
 }
