--- a/prove/edit.go
+++ b/prove/edit.go
@@ -8,29 +8,29 @@
 	"strings"
 )
 
-// edit takes a mechanism out of the source.
+// edit is a replacement that removes a safeguard or a mechanism from a source file.
 type edit struct {
 	File string `json:"file"`
-	// Old is replaced by New; it must stand in the file exactly once.
+	// Old is replaced by New. It must occur in the file exactly once.
 	Old string `json:"old"`
 	New string `json:"new"`
 }
 
-// apply changes a copy of the source and returns what the file held before.
-func (e edit) apply(dir string) (before []byte, err error) {
+// apply edits the copy of the source in dir and returns the file's original content.
+func (e edit) apply(dir string) (original []byte, err error) {
 	file := filepath.Join(dir, e.File)
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
 	}
 	if n := strings.Count(string(raw), e.Old); n != 1 {
-		return nil, fmt.Errorf("%s holds the text %d times, not once", e.File, n)
+		return nil, fmt.Errorf("%s contains the old text %d times, want exactly once", e.File, n)
 	}
 	return raw, os.WriteFile(file, []byte(strings.Replace(string(raw), e.Old, e.New, 1)), 0o644)
 }
 
-// copyTree copies what git tracks, but for the journal.
-func copyTree(dir string) error {
+// copyTree copies all files tracked by git, except the journal, to dst.
+func copyTree(dst string) error {
 	names, err := exec.Command("git", "ls-files", "-z", "--", ".", ":!journal").Output()
 	if err != nil {
 		return err
@@ -40,11 +40,11 @@
 		if err != nil {
 			return err
 		}
-		to := filepath.Join(dir, name)
-		if err := os.MkdirAll(filepath.Dir(to), 0o755); err != nil {
+		target := filepath.Join(dst, name)
+		if err := os.MkdirAll(filepath.Dir(target), 0o755); err != nil {
 			return err
 		}
-		if err := os.WriteFile(to, raw, 0o644); err != nil {
+		if err := os.WriteFile(target, raw, 0o644); err != nil {
 			return err
 		}
 	}
--- a/prove/main.go
+++ b/prove/main.go
@@ -1,10 +1,11 @@
-// Command prove shows what the source needs: that the failure tests can fail, and what a
-// part of the decisions is worth. It is a tool for developers, no part of the product.
+// Command prove runs mutation tests and prepares ablations. It verifies that the failure
+// tests can fail, and writes copies of the source without one mechanism, so that the
+// mechanism's benefit can be measured. It is a developer tool and not part of the product.
 //
-//	prove                  takes out one safeguard at a time; its test must fail without it
-//	prove NAME             the safeguards whose names hold it
-//	prove mechanisms       lists the mechanisms of the decisions
-//	prove without NAME DIR writes a copy of the source without a mechanism
+//	prove                  removes one safeguard at a time; its test must fail without it
+//	prove NAME             the same for the safeguards whose names contain NAME
+//	prove mechanisms       lists the mechanisms
+//	prove without NAME DIR writes a copy of the source without a mechanism to DIR
 package main
 
 import (
@@ -23,13 +24,13 @@
 func run(args []string) error {
 	switch {
 	case len(args) == 0:
-		return proveSafeguards("")
+		return testSafeguards("")
 	case args[0] == "mechanisms":
 		return listMechanisms()
 	case args[0] != "without":
-		return proveSafeguards(args[0])
+		return testSafeguards(args[0])
 	case len(args) != 3:
 		return errors.New("usage: prove without NAME DIR")
 	}
-	return writeWithout(args[1], args[2])
+	return writeCopyWithout(args[1], args[2])
 }
--- a/prove/mechanism.go
+++ b/prove/mechanism.go
@@ -2,30 +2,31 @@
 
 import "fmt"
 
-// mechanism is a part of the decisions whose worth is measured by playing days without it.
+// mechanism is a part of the placement and pacing decisions. Its benefit is measured by
+// simulating days of load without it.
 type mechanism struct {
 	Name  string `json:"name"`
 	Edits []edit `json:"edits"`
 }
 
-// listMechanisms prints the mechanisms' names.
+// listMechanisms prints the names of the mechanisms, one per line.
 func listMechanisms() error {
-	all, err := mechanisms()
+	all, err := readMechanisms()
 	for _, m := range all {
 		fmt.Println(m.Name)
 	}
 	return err
 }
 
-func mechanisms() (all []mechanism, err error) {
+func readMechanisms() (all []mechanism, err error) {
 	err = readList("prove/mechanisms.json", &all)
 	return all, err
 }
 
-// writeWithout writes a copy of the source without a mechanism. The product has no switch
-// for any of them.
-func writeWithout(name, dir string) error {
-	all, err := mechanisms()
+// writeCopyWithout writes a copy of the source without the named mechanism to dir. The
+// source is edited because the product has no setting that turns a mechanism off.
+func writeCopyWithout(name, dir string) error {
+	all, err := readMechanisms()
 	if err != nil {
 		return err
 	}
@@ -43,5 +44,5 @@
 		}
 		return nil
 	}
-	return fmt.Errorf("no mechanism is called %q", name)
+	return fmt.Errorf("unknown mechanism %q", name)
 }
--- a/prove/safeguard.go
+++ b/prove/safeguard.go
@@ -9,19 +9,19 @@
 	"strings"
 )
 
-// safeguard is a piece of source and the test that needs it.
+// safeguard is a piece of source and the test that must fail without it.
 type safeguard struct {
 	Name string `json:"name"`
 	edit
-	// Package and Test name the test; Focus picks a spec of a ginkgo suite.
+	// Package and Test name the test; Focus selects a spec of a ginkgo suite.
 	Package string `json:"package"`
 	Test    string `json:"test"`
 	Focus   string `json:"focus"`
 }
 
-// proveSafeguards expects the test of each safeguard whose name holds a text to fail
-// without it.
-func proveSafeguards(text string) error {
+// testSafeguards removes each safeguard whose name contains substr, one at a time, and
+// returns an error if the test of any of them passes without it.
+func testSafeguards(substr string) error {
 	var all []safeguard
 	if err := readList("prove/safeguards.json", &all); err != nil {
 		return err
@@ -34,45 +34,46 @@
 	if err := copyTree(dir); err != nil {
 		return err
 	}
-	survived := 0
+	surviving := 0
 	for _, s := range all {
-		if !strings.Contains(s.Name, text) {
+		if !strings.Contains(s.Name, substr) {
 			continue
 		}
-		failed, err := s.withoutIt(dir)
+		failed, err := s.testFailsWithout(dir)
 		if err != nil {
 			return fmt.Errorf("%s: %w", s.Name, err)
 		}
 		verdict := "test fails without it"
 		if !failed {
 			verdict = "TEST PASSES WITHOUT IT"
-			survived++
+			surviving++
 		}
 		fmt.Printf("%-60s %-70s %s\n", s.Name, s.Package+" "+s.Test+s.Focus, verdict)
 	}
-	if survived > 0 {
-		return fmt.Errorf("%d safeguards can go without a test noticing", survived)
+	if surviving > 0 {
+		return fmt.Errorf("%d safeguards can be removed without a test failure", surviving)
 	}
 	return nil
 }
 
-// readList reads a list that lies beside this source.
-func readList(file string, into any) error {
+// readList decodes a JSON list into dst. The path is relative to the root of the source.
+func readList(file string, dst any) error {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return err
 	}
-	return json.Unmarshal(raw, into)
+	return json.Unmarshal(raw, dst)
 }
 
-// withoutIt runs the test on the copy without the safeguard. A test that hangs
-// fails too: its caller would wait for good.
-func (s safeguard) withoutIt(dir string) (failed bool, err error) {
-	before, err := s.apply(dir)
+// testFailsWithout runs the test on the copy in dir without the safeguard, then restores
+// the copy. A test that runs into its timeout counts as failed: without the safeguard
+// its caller would wait forever.
+func (s safeguard) testFailsWithout(dir string) (failed bool, err error) {
+	original, err := s.apply(dir)
 	if err != nil {
 		return false, err
 	}
-	defer func() { _ = os.WriteFile(filepath.Join(dir, s.File), before, 0o644) }()
+	defer func() { _ = os.WriteFile(filepath.Join(dir, s.File), original, 0o644) }()
 	args := []string{"test", "-count=1", "-timeout", "60s", s.Package, "-run", s.Test}
 	if s.Focus != "" {
 		args = append(args, "-ginkgo.focus", s.Focus)
@@ -81,7 +82,7 @@
 	cmd.Dir = dir
 	out, err := cmd.CombinedOutput()
 	if strings.Contains(string(out), "[build failed]") || strings.Contains(string(out), "[setup failed]") {
-		return false, fmt.Errorf("does not build without it:\n%s", out)
+		return false, fmt.Errorf("source does not build without the safeguard:\n%s", out)
 	}
 	return err != nil, nil
 }
