--- a/registry/registry.go
+++ b/registry/registry.go
@@ -19,9 +19,9 @@
 // for concurrent use.
 type Registry struct {
 	entries map[string]Upstream
-	// tombstones has the revisions of deletions, so that a delayed page of a listing doesn't
-	// restore a deleted entry.
-	tombstones map[string]int64
+	// deletions has the revision at which each entry was deleted, so that a delayed page of a
+	// listing doesn't restore a deleted entry.
+	deletions map[string]int64
 	// lapsed has the times until which lapsed entries are used.
 	lapsed map[string]boottime.Time
 	// evacuations has the latest order for each failure domain. reopened has the times at which
@@ -39,7 +39,7 @@
 // New returns an empty registry.
 func New() *Registry {
 	return &Registry{
-		entries: map[string]Upstream{}, tombstones: map[string]int64{}, lapsed: map[string]boottime.Time{},
+		entries: map[string]Upstream{}, deletions: map[string]int64{}, lapsed: map[string]boottime.Time{},
 		evacuations: map[string]evacuation{}, reopened: map[string]boottime.Time{},
 	}
 }
@@ -47,7 +47,7 @@
 // Put records an entry received at now, unless a later change or deletion of it is recorded. The
 // warm-up of an entry counts from when its revision was first received.
 func (r *Registry) Put(now boottime.Time, u Upstream) {
-	if r.tombstones[u.ID] > u.Revision || r.entries[u.ID].Revision > u.Revision {
+	if r.deletions[u.ID] > u.Revision || r.entries[u.ID].Revision > u.Revision {
 		return
 	}
 	delete(r.lapsed, u.ID)
@@ -68,8 +68,8 @@
 	}
 	delete(r.entries, id)
 	delete(r.lapsed, id)
-	r.tombstones[id] = max(r.tombstones[id], revision)
-	r.limitTombstones()
+	r.deletions[id] = max(r.deletions[id], revision)
+	r.limitDeletions()
 }
 
 // Get returns an entry.
@@ -78,15 +78,15 @@
 	return u, found
 }
 
-// maxTombstones limits the memory used by tombstones. They are only needed while a listing is in
-// progress, which takes seconds; no fleet loses that many upstreams in this time.
-const maxTombstones = 4096
+// maxDeletions limits the memory used by recorded deletions. They are only needed while a listing
+// is in progress, which takes seconds; no fleet loses that many upstreams in this time.
+const maxDeletions = 4096
 
-func (r *Registry) limitTombstones() {
-	if len(r.tombstones) <= maxTombstones {
+func (r *Registry) limitDeletions() {
+	if len(r.deletions) <= maxDeletions {
 		return
 	}
-	clear(r.tombstones)
+	clear(r.deletions)
 }
 
 // Lapse marks an entry as missing. Expire removes it after the given time unless Put restores it
