--- a/router/control.go
+++ b/router/control.go
@@ -28,15 +28,15 @@
 	draining  bool
 }
 
-// announcement is the bundle mark that was last sent to a peer.
+// announcement is the bundle version ID that was last sent to a peer.
 type announcement struct {
-	mark        bundle.VersionID
+	versionID   bundle.VersionID
 	incarnation uint64
 	at          time.Time
 }
 
-// announceInterval is the interval at which the bundle's mark is sent again to
-// each peer, in case a notification was lost.
+// announceInterval is the interval at which the version ID of the held bundle is
+// sent again to each peer, in case a notification was lost.
 const announceInterval = 5 * time.Second
 
 func newController(r *Router, now time.Time) *controller {
@@ -71,7 +71,7 @@
 
 func (c *controller) tick(now time.Time) {
 	c.node.Tick(now)
-	c.announceMark(now)
+	c.announceBundleVersion(now)
 }
 
 // runActions executes the actions that the scheduler returned.
@@ -107,13 +107,13 @@
 func (c *controller) receiveSync(now time.Time, s sched.Sync) {
 	c.node.Receive(now, s)
 	if t := c.announced[s.From]; t.incarnation != s.Incarnation {
-		c.announceMarkTo(now, s.From, s.Incarnation)
+		c.announceBundleVersionTo(now, s.From, s.Incarnation)
 	}
 }
 
-// receiveMark records which bundle a peer holds and fetches the bundle if the
+// receiveBundleVersion records which bundle a peer holds and fetches the bundle if the
 // acceptor prefers it to the held one.
-func (c *controller) receiveMark(peer string, m bundle.VersionID) {
+func (c *controller) receiveBundleVersion(peer string, m bundle.VersionID) {
 	fetch := c.acceptor.RecordPeer(peer, m)
 	c.applyHeldBundle()
 	if fetch && c.fetched[peer] != m {
@@ -131,7 +131,7 @@
 		log.Info().Msg("bundle held")
 		c.held = &o
 		c.applyHeldBundle()
-		c.announceMark(now)
+		c.announceBundleVersion(now)
 	case bundle.Conflict:
 		c.r.metrics.Scope.Counter("bundle_conflicts").Inc(1)
 		log.Error().Msg("conflicting bundle ignored: the held bundle has the same version but different content")
@@ -143,7 +143,7 @@
 // applyHeldBundle puts the held bundle in force once the acceptor allows it.
 func (c *controller) applyHeldBundle() {
 	m := c.acceptor.InForce()
-	if c.held == nil || (c.inForce != nil && c.inForce.Mark == m) || m != c.acceptor.Latest() || m.Version == 0 {
+	if c.held == nil || (c.inForce != nil && c.inForce.VersionID == m) || m != c.acceptor.Latest() || m.Version == 0 {
 		return
 	}
 	c.inForce = newIndexedBundle(m, c.held.bundle)
@@ -199,20 +199,20 @@
 	c.applyHeldBundle()
 }
 
-// announceMark sends the mark of the held bundle to each peer that was not sent it
-// within announceInterval.
-func (c *controller) announceMark(now time.Time) {
+// announceBundleVersion sends the version ID of the held bundle to each peer that
+// was not sent it within announceInterval.
+func (c *controller) announceBundleVersion(now time.Time) {
 	for _, l := range c.listedVMs {
 		t := c.announced[l.Name]
-		if l.Name == c.r.cfg.Name || (t.mark == c.acceptor.Latest() && now.Sub(t.at) < announceInterval) {
+		if l.Name == c.r.cfg.Name || (t.versionID == c.acceptor.Latest() && now.Sub(t.at) < announceInterval) {
 			continue
 		}
-		c.announceMarkTo(now, l.Name, t.incarnation)
+		c.announceBundleVersionTo(now, l.Name, t.incarnation)
 	}
 }
 
-func (c *controller) announceMarkTo(now time.Time, peer string, incarnation uint64) {
+func (c *controller) announceBundleVersionTo(now time.Time, peer string, incarnation uint64) {
 	m := c.acceptor.Latest()
-	c.announced[peer] = announcement{mark: m, incarnation: incarnation, at: now}
-	c.r.mesh.Notify(peer, methodMark, markMessage{From: c.r.cfg.Name, VersionID: m})
+	c.announced[peer] = announcement{versionID: m, incarnation: incarnation, at: now}
+	c.r.mesh.Notify(peer, methodBundleVersion, bundleVersionMessage{From: c.r.cfg.Name, VersionID: m})
 }
--- a/router/message.go
+++ b/router/message.go
@@ -36,10 +36,10 @@
 // peerSync is a peer's scheduler state.
 type peerSync struct{ sync sched.Sync }
 
-// peerMark is the mark of the bundle that a peer holds.
-type peerMark struct {
-	peer string
-	mark bundle.VersionID
+// peerBundleVersion is the version ID of the bundle that a peer holds.
+type peerBundleVersion struct {
+	peer      string
+	versionID bundle.VersionID
 }
 
 // verifiedBundle is a bundle whose signatures were verified.
@@ -122,7 +122,9 @@
 func (m finishRequest) apply(c *controller, now time.Time) { c.node.Finish(now, m.id) }
 func (m failRequest) apply(c *controller, now time.Time)   { c.node.Fail(now, m.id, m.avoid) }
 func (m peerSync) apply(c *controller, now time.Time)      { c.receiveSync(now, m.sync) }
-func (m peerMark) apply(c *controller, _ time.Time)        { c.receiveMark(m.peer, m.mark) }
+func (m peerBundleVersion) apply(c *controller, _ time.Time) {
+	c.receiveBundleVersion(m.peer, m.versionID)
+}
 func (m verifiedBundle) apply(c *controller, now time.Time) {
 	c.offerBundle(now, m)
 }
--- a/router/peers.go
+++ b/router/peers.go
@@ -13,9 +13,9 @@
 const (
 	// methodSync carries a sched.Sync; a notification.
 	methodSync = "sync"
-	// methodMark carries the mark of the bundle that the sender holds; a
-	// notification.
-	methodMark = "mark"
+	// methodBundleVersion carries the version ID of the bundle that the sender
+	// holds; a notification.
+	methodBundleVersion = "mark"
 	// methodBundle requests the signed bundle that the receiver holds.
 	methodBundle = "bundle"
 	// methodVote requests a vote on a key.
@@ -26,8 +26,8 @@
 	methodAnswer = "answer"
 )
 
-// markMessage is the parameter of methodMark.
-type markMessage struct {
+// bundleVersionMessage is the parameter of methodBundleVersion.
+type bundleVersionMessage struct {
 	From string `json:"from"`
 	bundle.VersionID
 }
@@ -60,10 +60,10 @@
 		var m peerSync
 		err := json.Unmarshal(params, &m.sync)
 		return m, err
-	case methodMark:
-		var m markMessage
+	case methodBundleVersion:
+		var m bundleVersionMessage
 		err := json.Unmarshal(params, &m)
-		return peerMark{peer: m.From, mark: m.VersionID}, err
+		return peerBundleVersion{peer: m.From, versionID: m.VersionID}, err
 	case methodRelease:
 		var m keyMessage
 		err := json.Unmarshal(params, &m)
