--- a/dispatch/allowance_test.go
+++ b/dispatch/allowance_test.go
@@ -44,9 +44,9 @@
 }
 
 // Guards against allowances that ignore how a team's demand is spread over routers. Two
-// teams are over capacity, one of them through two routers with demand 9:1. Each router
-// gets its part of at least twice the team's fair rate; a team within its share has no
-// bound.
+// teams request more than the capacity, one of them through two routers with demand 9:1.
+// Each router gets its part of at least twice the team's fair rate; a team within its share
+// has no bound.
 func TestRoutersGetTheirPartsOfATeamsRate(t *testing.T) {
 	g := NewWithT(t)
 	const capacity = 60000
--- a/dispatch/config.go
+++ b/dispatch/config.go
@@ -34,9 +34,9 @@
 	// MinAwaitTokens is the minimum size of a part, in tokens, for which a request waits
 	// until another request has prefilled it.
 	MinAwaitTokens int
-	// LoadPenalty is added to the score of an upstream, times its utilization and its
-	// fraction of used slots. It places new sessions where there will be room for their
-	// next requests.
+	// LoadPenalty is added to the score of an upstream twice: once times its utilization,
+	// and once times its fraction of used slots. It places new sessions where there will be
+	// room for their next requests.
 	LoadPenalty time.Duration
 	// DecodePenalty is added to the score for each token that a request may generate,
 	// times the upstream's utilization. Streams are slow while an engine prefills, and a
@@ -48,9 +48,9 @@
 	// OverShareTargetFraction is the maximum of that fraction for teams above their share,
 	// which only get spare capacity.
 	OverShareTargetFraction float64
-	// OverShareDecrease is the part by which the fraction of teams above their share is
-	// reduced when a request of a team within its share is refused; OverShareRecovery is
-	// added to it per second.
+	// OverShareDecrease is the relative decrease of the fraction of teams above their share
+	// when a request of a team within its share is refused: 0.4 reduces the fraction to 0.6
+	// of its value. OverShareRecovery is added to the fraction per second.
 	OverShareDecrease, OverShareRecovery float64
 	// OverShareDecreaseInterval is the minimum time between two such decreases. A burst is
 	// a single sign of overload, however many requests it has.
--- a/dispatch/core_test.go
+++ b/dispatch/core_test.go
@@ -222,7 +222,8 @@
 }
 
 // Guards against requests to an unreachable upstream, and against an upstream that is
-// never tried again. The ban doubles each time.
+// never tried again. Each further ban is twice as long, up to BanMax; the durations
+// aren't checked here.
 func TestUnreachableUpstreamIsBannedTemporarily(t *testing.T) {
 	g := NewWithT(t)
 	c := newCore(2)
--- a/dispatch/floods_test.go
+++ b/dispatch/floods_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// floodScenario simulates teams that are far over capacity and start one after the other,
-// beside small teams and while engines are lost.
+// floodScenario simulates teams that request far more than the capacity and start one after
+// the other, beside small teams and while engines are lost.
 type floodScenario struct {
 	*simulation
 	startTimes []time.Duration
@@ -83,10 +83,10 @@
 // the largest requests.
 const toleratedRequests = 3
 
-// Guards against a team that starves because it had spare capacity while it was alone. Two
-// or three teams request ten times the capacity, one after the other, and engines are
-// lost. Over any six seconds in which all of them wait, none may get less than half of
-// what another got, with a tolerance of three requests.
+// Guards against a team that gets nothing because the spare capacity that it used while it was
+// alone counts against its share. Two or three teams request ten times the capacity, one after
+// the other, and engines are lost. Over any six seconds in which all of them wait, none may get
+// less than half of what another got, with a tolerance of three requests.
 func TestFloodsThatBeginOneAfterTheOtherAreServedAlike(t *testing.T) {
 	for seed := range uint64(100) {
 		f := drawFloods(seed)
--- a/dispatch/groups_test.go
+++ b/dispatch/groups_test.go
@@ -101,10 +101,10 @@
 	return got
 }
 
-// Guards against shares that ignore other homes: all sessions of a team belong to one home
-// while two teams flood both. Over six seconds the team got 0.4 of what each of them got,
-// because each home divided its capacity evenly (350,000 tokens per second for a team of
-// one group, 600,000 and more for teams of four).
+// Guards against homes that divide their capacity evenly, because they have no record of what
+// teams get elsewhere. All teams were refused throughout, but over six seconds a team with all
+// its sessions at one home got 0.4 of what each of two teams that flooded both homes got (350,000
+// tokens per second for a team of one group, 600,000 and more for teams of four).
 func TestTeamOfOneGroupGetsAsMuchAsOthers(t *testing.T) {
 	s := newTwoGroups()
 	s.simulate()
--- a/dispatch/job.go
+++ b/dispatch/job.go
@@ -12,8 +12,8 @@
 	// warming is set if the upstream was warming up when the job was sent to it.
 	warming bool
 	sentAt  time.Duration
-	// cost is the predicted time that the upstream needs for the job alone, up to its
-	// first byte.
+	// cost is the predicted time that the upstream needs for the job alone: up to the
+	// first byte for an engine, the whole service time for a plain service.
 	cost time.Duration
 	// prefillDeadline is the time after which the prefill is overdue.
 	prefillDeadline time.Duration
--- a/dispatch/prefill_plan.go
+++ b/dispatch/prefill_plan.go
@@ -3,7 +3,7 @@
 import "time"
 
 // prefillPlan is how an upstream would process a prompt: the upstream from which cached
-// parts are copied, if any, and the resulting time to first byte without waiting.
+// parts are copied, if any, and the resulting cost without waiting (see job.cost).
 type prefillPlan struct {
 	cost   time.Duration
 	source *upstream
@@ -47,8 +47,8 @@
 	return c.planPrefill(u, &j.Request, u.cache.cachedPrefix(j.Parts), c.copySource(now, cached), cached)
 }
 
-// copySource returns the index of the upstream in use with the longest cached prefix, or
-// -1 if none has any of it.
+// copySource returns the index of the upstream that isn't banned with the longest cached
+// prefix, or -1 if none has any of it.
 func (c *Core) copySource(now time.Duration, cached []int) int {
 	best := -1
 	for i, u := range c.upstreams {
--- a/dispatch/prefill_throttle.go
+++ b/dispatch/prefill_throttle.go
@@ -39,9 +39,10 @@
 	minRemainingFraction = 0.15
 	// prefillWeight weighs the value of prefill against that of answers that would be cut
 	// off. Under saturation half of the marginal prefill belongs to teams above their
-	// share, whose callers can retry; a cut answer is lost entirely. The value of whole
-	// days at 1, 0.5 and 0.25 was 0.659, 0.670 and 0.668 with long answers at a high
-	// price, and 0.790, 0.801 and 0.805 at a low price.
+	// share, whose callers can retry; a cut answer is lost entirely. The total value of
+	// the answers over whole simulated days, at weights of 1, 0.5 and 0.25, was 0.659,
+	// 0.670 and 0.668 with long answers at a high price, and 0.790, 0.801 and 0.805 at a
+	// low price.
 	prefillWeight = 0.5
 )
 
--- a/dispatch/share_status.go
+++ b/dispatch/share_status.go
@@ -55,8 +55,9 @@
 	return withinShare
 }
 
-// exceeds reports whether a team's usage within the window and its recent usage are above
-// a share.
+// exceeds reports whether a team is above a share: its recent usage alone is above
+// maxFairRate of the fair rate, or its usage within the window is above the share while
+// its recent usage is above minFairRate of the fair rate.
 func (s *shares) exceeds(usage, recent, share float64) bool {
 	fair := s.rate(share)
 	return recent > maxFairRate*fair || usage > share && recent > minFairRate*fair
--- a/dispatch/shares.go
+++ b/dispatch/shares.go
@@ -139,7 +139,9 @@
 	return a.total() > s.maxUsage.Window || a.totalRecent() > s.maxUsage.Recent
 }
 
-// minAccountTokens is the balance below which an account is deleted, in tokens.
+// minAccountTokens is the number of tokens below which usage is dropped: an account is
+// deleted once both its requested and its served tokens are below it, and usage reports and
+// the demand of routers are dropped below it as well.
 const minAccountTokens = 1
 
 // computeShares updates the max-min fair shares and deletes idle accounts.
@@ -191,7 +193,8 @@
 	// fullUtilization is the utilization from which on no further capacity is assumed.
 	// Sessions wait for the engine that has their parts cached while other engines are
 	// idle; with 0.85 large teams were admitted where small ones were refused (the value
-	// of small teams' answers fell from 0.914 to 0.885 over six seeds of the grown load).
+	// of small teams' answers fell from 0.914 to 0.885 over six seeds of a simulation with
+	// increased load).
 	fullUtilization = 0.5
 	// minUtilization bounds the extrapolation from a short history.
 	minUtilization = 0.2
--- a/dispatch/state.go
+++ b/dispatch/state.go
@@ -21,7 +21,8 @@
 	Waiting int `json:"waiting"`
 	Running int `json:"running"`
 	// Served is what all teams got within the window, Capacity what they can get, and
-	// FairShare the max-min fair share of a team, in tokens. 0 means unbounded.
+	// FairShare the usage up to which each team is served in full (the max-min fair
+	// share), in tokens. A Capacity or FairShare of 0 means that there is no bound.
 	Served    float64 `json:"served"`
 	Capacity  float64 `json:"room"`
 	FairShare float64 `json:"level"`
--- a/fleet/ask.go
+++ b/fleet/ask.go
@@ -74,8 +74,9 @@
 // decides, upstreams would be overloaded and teams charged twice. A home therefore counts
 // as unresponsive only once this router has read all datagrams that had arrived when the
 // reply was due. A router that is late with reading waits for that, or refuses the request
-// so that its caller tries another router. Otherwise it asks the successor of the home, and
-// decides by itself only if it receives nothing from any peer.
+// so that its caller tries another router. Otherwise it asks the successor of the home. It
+// decides by itself only if maxHomesPerRequest homes haven't answered, or if it receives
+// nothing from any peer.
 func (n *Node) handleTimeout(now boottime.Time, p *pending) {
 	switch {
 	case n.lagProbe.readUntil >= p.timeoutAt:
--- a/fleet/group.go
+++ b/fleet/group.go
@@ -56,7 +56,8 @@
 	return int(xxhash.Sum64String(id) % uint64(count))
 }
 
-// maxGroups limits the groups of one service, because peers send group numbers.
+// maxGroups limits the groups of one service, so that an invalid group number from a peer
+// can't create groups without bound.
 const maxGroups = 1 << 10
 
 // group returns a group of a service with its current upstreams. It returns nil if the
--- a/fleet/group_count.go
+++ b/fleet/group_count.go
@@ -40,7 +40,8 @@
 	return count
 }
 
-// minimum returns the smallest number of groups for which no group is too large.
+// minimum returns the smallest power of two for which the mean group size is at most
+// maxMeanSize.
 func (c *groupCounts) minimum(upstreams int) int {
 	count := 1
 	for upstreams > count*c.maxMeanSize {
@@ -54,8 +55,8 @@
 	return float64(upstreams) > halvingThreshold*float64(count/2*c.maxMeanSize)
 }
 
-// groupNumber encodes the index of a group and the number of groups: two groups are
-// numbered 2 and 3, four groups 4 to 7.
+// groupNumber encodes, in messages between routers, the index of a group and the number of
+// groups: two groups are numbered 2 and 3, four groups 4 to 7.
 type groupNumber int
 
 func newGroupNumber(index, count int) groupNumber {
--- a/fleet/home.go
+++ b/fleet/home.go
@@ -11,7 +11,7 @@
 // handlePlaceRequest decides on a peer's request as the home of its group.
 func (n *Node) handlePlaceRequest(now boottime.Time, from uint64, req *placeRequest) {
 	if n.feed.Snapshot() == nil || n.members[from] == nil {
-		return // the peer times out and decides by itself
+		return // the peer's request times out, and the peer asks this home's successor first
 	}
 	n.adoptPeerCount(req.Service, req.Group)
 	key := groupKey{service: req.Service, index: req.Group.index()}
--- a/fleet/hubs_test.go
+++ b/fleet/hubs_test.go
@@ -71,9 +71,9 @@
 	})
 }
 
-// Guards against requests that wait when all hubs lose power at once. They must be decided
-// within twice the placement timeout, and the remaining routers must agree on new homes some
-// seconds later (4 s with 89 routers).
+// Guards against requests that wait when all hubs lose power at once. They are decided after
+// about two placement timeouts (200 ms), for which the test allows 300 ms, and the remaining
+// routers must agree on new homes some seconds later (4 s with 89 routers).
 func TestHubsAreReplacedWhenAllAreLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -45,8 +45,9 @@
 	readsPlatform atomic.Bool
 	datagramsSent atomic.Int64
 	pulling       atomic.Bool
-	// controlLag is the moving average of the time that events wait for the control
-	// goroutine, in nanoseconds.
+	// controlLag is the moving average of the time that placement requests and ticks wait
+	// for the control goroutine, in nanoseconds. Other events, such as packets, aren't
+	// timed.
 	controlLag atomic.Int64
 	// readLag is how long the newest received lag probe waited to be read, in nanoseconds.
 	readLag atomic.Int64
@@ -213,11 +214,13 @@
 // spans about ten requests.
 const lagDecay = 0.9
 
-// recordLag adds the time that an event waited for the control goroutine to the average.
+// recordLag adds the time that a placement request or a tick waited for the control
+// goroutine to the average.
 func (n *Node) recordLag(waited time.Duration) {
 	n.controlLag.Store(int64(lagDecay*float64(n.controlLag.Load()) + (1-lagDecay)*float64(waited)))
 }
 
-// Lag implements gateway.Placer. It returns the average time that events wait for the
-// control goroutine. Goroutines share the processor, so all of them wait about as long.
+// Lag implements gateway.Placer. It returns the average time that placement requests and
+// ticks wait for the control goroutine. Goroutines share the processor, so all of them wait
+// about as long.
 func (n *Node) Lag() time.Duration { return time.Duration(n.controlLag.Load()) }
--- a/fleet/readers.go
+++ b/fleet/readers.go
@@ -7,13 +7,13 @@
 	"github.com/aspenswitch/aspenswitch/boottime"
 )
 
-// maxReaders is the number of routers in the fleet that read the platform. Each reader adds
-// calls to the platform, and each change ends every waiting watch; the second reader covers
-// the loss of the first.
+// maxReaders is the number of routers in the fleet that read the platform. Calls to the
+// platform are limited; each reader adds some, and each change ends every waiting watch. The
+// second reader covers the loss of the first.
 //
 // The other routers receive the state from the readers: the leader of each failure domain
-// from a reader, the rest of the domain from its leader. A state is thus sent to each domain
-// only once.
+// from a reader, the rest of the domain from its leader. A state is thus transferred between
+// failure domains only once per domain.
 const maxReaders = 2
 
 // readerKey is the key by which leaders and readers are chosen.
--- a/fleet/team_usage.go
+++ b/fleet/team_usage.go
@@ -16,8 +16,8 @@
 	// minUsageInterval is the minimum time between two usage reports of a home: a fifth of
 	// the window of the teams' rates.
 	minUsageInterval = 200 * time.Millisecond
-	// maxUsageInterval is less than the time for which a ledger keeps reported usage
-	// undecayed.
+	// maxUsageInterval is less than reportHoldTime of package dispatch, for which ledgers
+	// and homes use reported usage without decay.
 	maxUsageInterval = 900 * time.Millisecond
 	// usageIntervalPerTeam increases the interval with the number of teams, so that a home
 	// reports at most 1000 teams per second, however many are waiting.
--- a/fleet/team_usage_test.go
+++ b/fleet/team_usage_test.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// Guards against homes that have only a part of the usage at other homes of a team whose callers
-// use many routers.
+// Guards against homes that receive only a part of a team's usage at other homes if the team's
+// callers use many routers.
 func TestHomesReceiveTheTeamUsageOfOtherHomes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/fleet/warmup_test.go
+++ b/fleet/warmup_test.go
@@ -178,8 +178,8 @@
 	return slices.IndexFunc(f.all, func(m *member) bool { return m.node.Dump().Router == id })
 }
 
-// testColdEngine runs load on a fleet in which u0 turns cold, with a disturbance half a second
-// after the load starts.
+// testColdEngine runs load on a fleet, turns u0 cold, and then runs load again, with a
+// disturbance half a second after the start of this second load.
 func testColdEngine(t *testing.T, disturb func(f *coldFleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
