--- a/fairness/accounts.go
+++ b/fairness/accounts.go
@@ -18,9 +18,11 @@
 	share float64
 	// base is the service of incarnations that have ended.
 	base float64
-	// lift is credit that raises a returning or lagging team to the floor.
-	// Routers merge it by maximum, so that the lifts of two routers at the same
-	// time don't add up.
+	// lift is credit that raises a returning team to the floor, less its lag, or
+	// a lagging team to within MaxLag of the best served one (see Activate and
+	// ClampLag). The floor is the lowest normalized service among the other
+	// backlogged teams (see Accounts.floor). Routers merge lifts by maximum, so
+	// that the lifts of two routers at the same time don't add up.
 	lift float64
 	// lag is how far the team was behind the floor when its queue here last
 	// emptied.
--- a/fairness/next.go
+++ b/fairness/next.go
@@ -99,7 +99,8 @@
 }
 
 // AllPeersBacklogged reports whether every live peer has waiting requests of its
-// own and so, by the scheduler's invariant, no idle slot to return.
+// own and so no idle slot to return: a router uses its idle slots for its own
+// waiting requests, or returns them for a team that is further behind.
 func (a *Accounts) AllPeersBacklogged() bool {
 	for _, p := range a.peers {
 		if p.unreachable {
--- a/gateway/deps.go
+++ b/gateway/deps.go
@@ -35,7 +35,7 @@
 	ReportShed(service string, r dispatch.Request)
 	// NewTicket returns a unique ID for a placement request.
 	NewTicket() dispatch.Ticket
-	// Lag returns the router's processing delay.
+	// Lag returns how long work currently waits at this router before it is processed.
 	Lag() time.Duration
 	// ReadLag returns the delay with which messages of other routers are read.
 	ReadLag() time.Duration
--- a/gateway/overload_test.go
+++ b/gateway/overload_test.go
@@ -54,10 +54,11 @@
 	g.Expect(placements).To(Equal(4), "another home allows a higher rate")
 	r.placer.group = 0
 	g.Expect(call("k1")).To(Equal(429))
-	g.Expect(placements).To(Equal(4), "which does not change the rate of the first home")
+	g.Expect(placements).To(Equal(4), "a higher rate of another home must not change the rate of the first home")
 }
 
-// Guards against an overloaded router that sends requests to upstreams which were removed.
+// Guards against an overloaded router that sends requests to upstreams that are draining or
+// have been removed.
 func TestRouterThatIsBehindDoesNotSendOnAnOldView(t *testing.T) {
 	g := NewWithT(t)
 	r := newHarness(t, map[string]script{"u1": ok("answer")})
--- a/gateway/pacer.go
+++ b/gateway/pacer.go
@@ -16,7 +16,8 @@
 const (
 	// maxSlice is short compared to the lag above which a router counts as overloaded.
 	maxSlice = 2 * time.Millisecond
-	// minPause is the shortest sleep that timers can measure.
+	// minPause is the minimum pause. Timers don't reliably distinguish a shorter sleep from
+	// no sleep.
 	minPause = time.Millisecond
 )
 
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -21,7 +21,7 @@
 	u := s.state.Snapshot().View.Upstream(id)
 	if u == nil {
 		s.placer.Done(r.service, t, dispatch.NotSent, 0)
-		return result{refused: notRun("upstream_left", "the upstream was removed before the request was sent", defaultRetryAfter), retryable: true}
+		return result{refused: notRun("upstream_left", "the upstream began to drain or was removed before the request was sent", defaultRetryAfter), retryable: true}
 	}
 	s.countFirstAttempt(r)
 	r.record.upstream = id
--- a/gateway/send_check.go
+++ b/gateway/send_check.go
@@ -29,8 +29,8 @@
 	}
 	if u == nil || u.Service != r.service {
 		r.tried = append(r.tried, id)
-		r.record.cause = "upstream " + id + " has been removed"
-		return true, notRun("upstream_left", "the upstream was removed before the request was sent", defaultRetryAfter)
+		r.record.cause = "upstream " + id + " is draining or has been removed"
+		return true, notRun("upstream_left", "the upstream began to drain or was removed before the request was sent", defaultRetryAfter)
 	}
 	if !s.inRegion(r, u) {
 		s.stats.withheld[withheldRegion].Inc(1)
@@ -51,9 +51,9 @@
 // viewTooOld reports whether this router is overloaded and its view too old to act upon.
 //
 // A flooded router reads the messages of its peers seconds late. It would send requests to
-// upstreams that have been removed, and deny routes and keys that were added long ago. An
-// old view is only rejected while the router is overloaded; otherwise an outage of the
-// platform would stop all requests.
+// upstreams that are draining or have been removed, and deny routes and keys that were added
+// long ago. An old view is only rejected while the router is overloaded; otherwise an outage
+// of the platform would stop all requests.
 func (s *Server) viewTooOld() bool {
 	lag := max(s.placer.Lag(), s.placer.ReadLag())
 	return lag > s.cfg.Shed.LagThreshold && s.state.Age() > s.cfg.MaxViewAge
--- a/lease/table.go
+++ b/lease/table.go
@@ -46,8 +46,9 @@
 type Table struct {
 	upstream int
 	limit    int
-	// graceEnd is the end of the grace period, during which no slot is granted.
-	// Slots that no holder has claimed by then count as free.
+	// graceEnd is the end of the grace period, during which no free slot is granted,
+	// but claims of slots that holders already have are accepted. Slots that no
+	// holder has claimed by its end count as free.
 	graceEnd time.Time
 	lastTerm uint64
 	holders  map[string]*holderRecord
@@ -56,11 +57,11 @@
 // NewTable returns the table of a router that becomes home now. Slots that an
 // earlier home may have granted are not available until graceEnd, one lease time
 // ahead: a holder that cannot reach this home could still use them until then.
-func NewTable(upstream, limit int, firstTerm uint64, opensAt time.Time) *Table {
+func NewTable(upstream, limit int, firstTerm uint64, graceEnd time.Time) *Table {
 	return &Table{
 		upstream: upstream,
 		limit:    limit,
-		graceEnd: opensAt,
+		graceEnd: graceEnd,
 		lastTerm: firstTerm,
 		holders:  map[string]*holderRecord{},
 	}
--- a/limits/allowances.go
+++ b/limits/allowances.go
@@ -14,9 +14,10 @@
 	Team  string
 }
 
-// Allowances avoids admission requests that homes would refuse. It has a token bucket for each
-// team at each home, refilled at the rate that the home last returned. The zero value imposes
-// no limits. It isn't safe for concurrent use.
+// Allowances limits a router's admission requests to the rates that the homes allow, so that it
+// doesn't send requests that they would refuse. It has a token bucket for each team at each home,
+// refilled at the rate that the home last returned. The zero value imposes no limits. It isn't
+// safe for concurrent use.
 type Allowances struct {
 	buckets map[ShareKey]*bucket
 }
--- a/limits/late_test.go
+++ b/limits/late_test.go
@@ -46,10 +46,10 @@
 	}
 }
 
-// Guards against refusing a whole team for over 1 s while its share admits 100 requests per second.
-// A router with a saturated CPU reads no responses of homes for 0.1 s. Hundreds of requests were then
-// in flight before the first recorded refusal; a throttle that weighs all these refusals against
-// earlier admissions sent nothing for 1.07 s (3,700 requests/s; log lines "team" and "share").
+// Guards against refusing a whole team, whose callers all use one router, for over 1 s despite its share
+// of 100 requests/s. A router with a saturated CPU reads no responses of homes for 0.1 s, and hundreds of
+// requests are in flight before the first recorded refusal. At 3,700 requests/s, a throttle that weighed
+// all these refusals against earlier admissions sent nothing for 1.07 s (log lines "team" and "share").
 func TestLateAnswersDoNotKeepATeamFromItsShare(t *testing.T) {
 	g := NewWithT(t)
 	const (
--- a/limits/shedder.go
+++ b/limits/shedder.go
@@ -4,9 +4,10 @@
 
 // ShedConfig configures a Shedder.
 type ShedConfig struct {
-	// A router whose lag reaches LagThreshold requests no more than its share for a team with
-	// an allowance, and sheds part of the streaming requests of a heavy team without one. Above
-	// MaxStreamLag it sheds all streaming requests.
+	// A router whose lag reaches LagThreshold counts as lagging (package gateway calls it
+	// overloaded). It requests no more than its share for a team with an allowance, and sheds
+	// part of the streaming requests of a heavy team without one. Above MaxStreamLag it sheds
+	// all streaming requests.
 	LagThreshold, MaxStreamLag time.Duration
 }
 
--- a/sched/failure_test.go
+++ b/sched/failure_test.go
@@ -67,7 +67,7 @@
 }
 
 // All slots are idle and spread over the routers when one router receives a
-// burst. Its requests must run on the other routers' slots within a few round
+// burst. Its requests must run on the other routers' slots within three round
 // trips; a slot that stays idle longer delays callers.
 func TestIdleSlotsGoWhereWorkWaits(t *testing.T) {
 	g := NewWithT(t)
@@ -168,9 +168,9 @@
 }
 
 // The fleet is partitioned and rejoined twice; both halves must serve callers.
-// An upstream may exceed its slots by the second half's part when its grace
-// period ends and, after the next load report, by one for rounding. After a
-// rejoin no team may be served alone to repay the gap.
+// When the grace period of the second half's new home ends, an upstream may
+// exceed its slots by that half's part; after the next load report, by one for
+// rounding. After a rejoin no team may be served alone to repay the gap.
 func TestCutInTwoAndRejoinedTwice(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(t, 4, 4, 4)
--- a/sched/schedule.go
+++ b/sched/schedule.go
@@ -6,9 +6,9 @@
 	"github.com/aspenswitch/aspenswitch/fairness"
 )
 
-// schedule uses the pool's idle slots for the requests that wait here, or, if a
-// team that waits elsewhere is behind by more than the hysteresis, for that
-// team.
+// schedule dispatches the requests that wait here to the pool's idle slots; if a
+// team that waits elsewhere is behind by more than the hysteresis, it returns a
+// slot for that team instead.
 func (n *Node) schedule(now time.Time, p *pool) {
 	n.assignIdle(now, p)
 	n.correctWaiting(now, p)
--- a/warmup/warmup_test.go
+++ b/warmup/warmup_test.go
@@ -65,7 +65,7 @@
 // the requests that its predecessor granted.
 func TestSuccessorsStayWithinTheBound(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		// Each home's perHome of the bound is a whole number, so that the bound is tight.
+		// perHome, each home's part of the bound, is a whole number, so that the bound is tight.
 		perHome := rapid.IntRange(2, 100).Draw(rt, "part")
 		limit := warmup.Limit{Duration: 5 * time.Second, PerSecond: float64(2 * perHome)}
 		policy := warmup.Policy{Overage: 1}
