--- a/admin/server.go
+++ b/admin/server.go
@@ -77,7 +77,7 @@
 		}
 	}
 	return c.JSON(http.StatusOK, Status{
-		Name: d.Name, FailureDomain: d.FailureDomain, Ready: d.Ready, Leaving: d.Scheduler.Leaving,
+		Name: d.Name, FailureDomain: d.FailureDomain, Ready: d.Ready, Leaving: d.Scheduler.Draining,
 		InForce: d.InForce, Live: d.Scheduler.Live, Waiting: d.Scheduler.Waiting, Running: d.Scheduler.Running,
 		HomeOf: homeOf, PeerBytes: d.PeerBytes, PlatformCalls: d.PlatformCalls,
 	})
--- a/router/message.go
+++ b/router/message.go
@@ -149,5 +149,5 @@
 }
 func (m beginDrain) apply(c *controller, now time.Time) {
 	c.draining = true
-	c.node.Leave(now)
+	c.node.Drain(now)
 }
--- a/sched/dump.go
+++ b/sched/dump.go
@@ -14,7 +14,7 @@
 	Incarnation uint64     `json:"incarnation"`
 	Live        []string   `json:"live"`
 	Joined      bool       `json:"joined"`
-	Leaving     bool       `json:"leaving"`
+	Draining    bool       `json:"leaving"`
 	Waiting     int        `json:"waiting"`
 	Running     int        `json:"running"`
 	Pools       []PoolDump `json:"pools"`
@@ -59,7 +59,7 @@
 func (n *Node) Dump(now time.Time) Dump {
 	d := Dump{
 		Router: n.cfg.Router, Incarnation: n.cfg.Incarnation, Live: n.live,
-		Joined: n.joined, Leaving: n.leaving, Waiting: len(n.requests), Running: len(n.running),
+		Joined: n.joined, Draining: n.leaving, Waiting: len(n.requests), Running: len(n.running),
 	}
 	for _, id := range slices.Sorted(maps.Keys(n.pools)) {
 		d.Pools = append(d.Pools, n.pools[id].dump(now))
--- a/sched/failure_test.go
+++ b/sched/failure_test.go
@@ -313,7 +313,7 @@
 	f.runWith(2*time.Second, func() { f.backlog(0, 1); f.backlog(1, 2); f.backlog(2, 3) })
 	ran := f.nodes[2].Running()
 	g.Expect(ran).To(BeNumerically(">", 0))
-	f.nodes[2].Leave(f.now)
+	f.nodes[2].Drain(f.now)
 	f.perform(2)
 	g.Expect(f.refused).To(HaveLen(8))
 	for id, r := range f.refused {
--- a/sched/message.go
+++ b/sched/message.go
@@ -25,9 +25,9 @@
 	Missed bool `json:"m,omitempty"`
 	// Joining requests a snapshot: the sender started without state.
 	Joining bool `json:"j,omitempty"`
-	// Leaving announces that the sender is shutting down.
-	Leaving bool       `json:"l,omitempty"`
-	Pools   []PoolSync `json:"p,omitempty"`
+	// Draining announces that the sender has begun a graceful shutdown.
+	Draining bool       `json:"l,omitempty"`
+	Pools    []PoolSync `json:"p,omitempty"`
 }
 
 // PoolSync is one pool's part of a Sync.
--- a/sched/receive.go
+++ b/sched/receive.go
@@ -55,7 +55,7 @@
 }
 
 func (n *Node) recordSender(now time.Time, l *link, s Sync) {
-	if n.view.RecordMessage(now, s.From, s.Incarnation, s.Leaving) {
+	if n.view.RecordMessage(now, s.From, s.Incarnation, s.Draining) {
 		l.reset(s.Incarnation)
 		for _, p := range n.pools {
 			p.accounts.Merge(now, s.From, s.Incarnation, nil)
--- a/sched/requests.go
+++ b/sched/requests.go
@@ -115,10 +115,10 @@
 	return r, p
 }
 
-// Leave starts a graceful shutdown: waiting requests are refused, running
+// Drain starts a graceful shutdown: waiting requests are refused, running
 // requests continue to the end, idle slots are returned, and the peers are
 // notified.
-func (n *Node) Leave(now time.Time) {
+func (n *Node) Drain(now time.Time) {
 	n.leaving = true
 	n.view.Leave()
 	for _, id := range slices.Sorted(maps.Keys(n.requests)) {
