--- a/callers/doc.go
+++ b/callers/doc.go
@@ -1,3 +1,7 @@
 // Package callers implements the HTTP API for the teams' requests: the
 // OpenAI-compatible API for models, and plain services under /services/.
+//
+// The package is used by daemon.Daemon, the router configured by signed bundles.
+// daemon.FleetDaemon, the router on the users' platform, uses packages gateway,
+// fleet, dispatch and feed instead.
 package callers
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -25,7 +25,9 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("daemon")
 
-// Daemon is a router process that is configured by signed bundles.
+// Daemon is the router process that is configured by signed bundles. It serves requests
+// with packages callers, router, sched and lease. FleetDaemon is the alternative on the
+// users' platform.
 type Daemon struct {
 	settings       settings.Settings
 	log            zerolog.Logger
--- a/daemon/fleet.go
+++ b/daemon/fleet.go
@@ -24,8 +24,9 @@
 	"github.com/aspenswitch/aspenswitch/upstream"
 )
 
-// FleetDaemon is a router process on a platform that publishes configuration and
-// upstreams.
+// FleetDaemon is the router process on the users' platform, which publishes configuration
+// and upstreams. It serves requests with packages gateway, fleet, dispatch and feed. Daemon
+// is the alternative that is configured by signed bundles.
 type FleetDaemon struct {
 	settings  settings.Fleet
 	log       zerolog.Logger
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -24,7 +24,7 @@
 	log    zerolog.Logger
 	// isReader reports whether this router is one of those that read the platform.
 	isReader func() bool
-	// onChange is called after a new snapshot is published.
+	// onChange is called after a changed snapshot is stored.
 	onChange func()
 
 	snapshot atomic.Pointer[Snapshot]
@@ -110,7 +110,7 @@
 	if f.upstreams.Expire(f.now()) {
 		changed = true
 	}
-	f.publish(changed)
+	f.storeSnapshot(changed)
 	f.mu.Unlock()
 	f.confirm(sentAt)
 	if changed {
@@ -177,8 +177,9 @@
 	return true
 }
 
-// publish stores a new snapshot of the state. The caller holds mu.
-func (f *Feed) publish(changed bool) {
+// storeSnapshot stores a snapshot of the current state. It keeps the old one if neither
+// the state nor the revision changed. The caller holds mu.
+func (f *Feed) storeSnapshot(changed bool) {
 	old := f.snapshot.Load()
 	if !changed && old != nil {
 		if old.Revision == f.revision {
@@ -209,7 +210,7 @@
 	f.mu.Lock()
 	changed := f.upstreams.Expire(f.now())
 	if changed {
-		f.publish(true)
+		f.storeSnapshot(true)
 	}
 	f.mu.Unlock()
 	if changed {
--- a/feed/peer.go
+++ b/feed/peer.go
@@ -72,8 +72,8 @@
 	return state
 }
 
-// exportUpstreams adds the upstreams changed after the revision since to e, or all
-// upstreams if the change log no longer covers it.
+// exportUpstreams adds the upstreams changed after the revision since to state, or
+// all upstreams if the change log no longer covers it.
 func (f *Feed) exportUpstreams(state *PeerState, s *Snapshot, since int64) {
 	ids, complete := f.changes.since(since)
 	if !complete || since == 0 {
@@ -109,7 +109,7 @@
 	}
 	// A state that could not be applied doesn't confirm the current one.
 	upToDate := state.Revision == f.revision
-	f.publish(changed)
+	f.storeSnapshot(changed)
 	f.mu.Unlock()
 	if upToDate {
 		f.confirm(requestedAt - boottime.Time(state.AgeNanos))
--- a/lease/doc.go
+++ b/lease/doc.go
@@ -10,6 +10,9 @@
 // Cheriton, "Leases: an efficient fault-tolerant mechanism for distributed file
 // cache consistency", SOSP 1989.
 //
+// Package dispatch uses "home" for the router that decides for a group of upstreams;
+// here it is one router for each upstream.
+//
 // Safety: a holder measures its lease from the time it sent the message that the
 // home acknowledged; the home measures it from the time it received that
 // message. The holder's lease therefore ends first, provided that both clocks
@@ -18,4 +21,8 @@
 //
 // The package is pure: it reads no clock, and methods that need the time take it
 // as an argument.
+//
+// The package is used by daemon.Daemon, the router configured by signed bundles.
+// daemon.FleetDaemon, the router on the users' platform, uses packages gateway,
+// fleet, dispatch and feed instead.
 package lease
--- a/lease/table.go
+++ b/lease/table.go
@@ -54,15 +54,16 @@
 	holders  map[string]*holderRecord
 }
 
-// NewTable returns the table of a router that becomes home now. Slots that an
-// earlier home may have granted are not available until graceEnd, one lease time
-// ahead: a holder that cannot reach this home could still use them until then.
-func NewTable(upstream, limit int, firstTerm uint64, graceEnd time.Time) *Table {
+// NewTable returns the table of a router that becomes home now. Its terms start
+// after lastTerm. Slots that an earlier home may have granted are not available
+// until graceEnd, one lease time ahead: a holder that cannot reach this home could
+// still use them until then.
+func NewTable(upstream, limit int, lastTerm uint64, graceEnd time.Time) *Table {
 	return &Table{
 		upstream: upstream,
 		limit:    limit,
 		graceEnd: graceEnd,
-		lastTerm: firstTerm,
+		lastTerm: lastTerm,
 		holders:  map[string]*holderRecord{},
 	}
 }
--- a/router/control.go
+++ b/router/control.go
@@ -20,8 +20,9 @@
 	records   *idempotency.RecordStore
 	waiters   map[sched.RequestID]*waiter
 	listedVMs []membership.ListedVM
-	// held is the latest verified bundle; inForce is the one in force.
-	held      *verifiedBundle
+	// latest is the bundle whose version ID is acceptor.Latest, the last one accepted;
+	// inForce is the one in force.
+	latest    *verifiedBundle
 	inForce   *indexedBundle
 	announced map[string]announcement
 	fetched   map[string]bundle.VersionID
@@ -35,7 +36,7 @@
 	at          time.Time
 }
 
-// announceInterval is the interval at which the version ID of the held bundle is
+// announceInterval is the interval at which the version ID of the latest bundle is
 // sent again to each peer, in case a notification was lost.
 const announceInterval = 5 * time.Second
 
@@ -106,31 +107,32 @@
 
 func (c *controller) receiveSync(now time.Time, s sched.Sync) {
 	c.node.Receive(now, s)
-	if t := c.announced[s.From]; t.incarnation != s.Incarnation {
+	if sent := c.announced[s.From]; sent.incarnation != s.Incarnation {
 		c.announceBundleVersionTo(now, s.From, s.Incarnation)
 	}
 }
 
 // receiveBundleVersion records which bundle a peer holds and fetches the bundle if the
-// acceptor prefers it to the held one.
-func (c *controller) receiveBundleVersion(peer string, m bundle.VersionID) {
-	fetch := c.acceptor.RecordPeer(peer, m)
-	c.applyHeldBundle()
-	if fetch && c.fetched[peer] != m {
-		c.fetched[peer] = m
-		go c.r.fetchBundle(peer, m)
-	}
-}
-
-// offerBundle offers a verified bundle to the acceptor and holds it if accepted.
-func (c *controller) offerBundle(now time.Time, o verifiedBundle) {
-	m := bundle.VersionID{Version: o.bundle.Version, Digest: o.signed.Digest()}
-	log := c.r.log.With().Uint64("version", m.Version).Str("digest", m.Digest).Str("from", o.from).Logger()
-	switch c.acceptor.Offer(m) {
+// acceptor prefers it to the latest one here.
+func (c *controller) receiveBundleVersion(peer string, id bundle.VersionID) {
+	fetch := c.acceptor.RecordPeer(peer, id)
+	c.applyLatestBundle()
+	if fetch && c.fetched[peer] != id {
+		c.fetched[peer] = id
+		go c.r.fetchBundle(peer, id)
+	}
+}
+
+// offerBundle offers a verified bundle to the acceptor. An accepted bundle becomes the
+// latest one.
+func (c *controller) offerBundle(now time.Time, b verifiedBundle) {
+	id := bundle.VersionID{Version: b.bundle.Version, Digest: b.signed.Digest()}
+	log := c.r.log.With().Uint64("version", id.Version).Str("digest", id.Digest).Str("from", b.from).Logger()
+	switch c.acceptor.Offer(id) {
 	case bundle.Accepted:
 		log.Info().Msg("bundle held")
-		c.held = &o
-		c.applyHeldBundle()
+		c.latest = &b
+		c.applyLatestBundle()
 		c.announceBundleVersion(now)
 	case bundle.Conflict:
 		c.r.metrics.Scope.Counter("bundle_conflicts").Inc(1)
@@ -140,17 +142,17 @@
 	}
 }
 
-// applyHeldBundle puts the held bundle in force once the acceptor allows it.
-func (c *controller) applyHeldBundle() {
-	m := c.acceptor.InForce()
-	if c.held == nil || (c.inForce != nil && c.inForce.VersionID == m) || m != c.acceptor.Latest() || m.Version == 0 {
+// applyLatestBundle puts the latest bundle in force once the acceptor allows it.
+func (c *controller) applyLatestBundle() {
+	id := c.acceptor.InForce()
+	if c.latest == nil || (c.inForce != nil && c.inForce.VersionID == id) || id != c.acceptor.Latest() || id.Version == 0 {
 		return
 	}
-	c.inForce = newIndexedBundle(m, c.held.bundle)
+	c.inForce = newIndexedBundle(id, c.latest.bundle)
 	c.r.inForce.Store(c.inForce)
 	c.node.SetQueueLimit(c.inForce.Bundle.Limits.QueuePerTeam)
 	c.node.Configure(time.Now(), schedSettings(c.inForce.Bundle))
-	c.r.log.Info().Uint64("version", m.Version).Msg("bundle in force")
+	c.r.log.Info().Uint64("version", id.Version).Msg("bundle in force")
 }
 
 // schedSettings returns the scheduler settings of a bundle.
@@ -196,23 +198,23 @@
 	c.r.mesh.SetAddresses(addresses)
 	c.acceptor.SetVoters(names)
 	c.node.SetList(now, list)
-	c.applyHeldBundle()
+	c.applyLatestBundle()
 }
 
-// announceBundleVersion sends the version ID of the held bundle to each peer that
+// announceBundleVersion sends the version ID of the latest bundle to each peer that
 // was not sent it within announceInterval.
 func (c *controller) announceBundleVersion(now time.Time) {
 	for _, l := range c.listedVMs {
-		t := c.announced[l.Name]
-		if l.Name == c.r.cfg.Name || (t.versionID == c.acceptor.Latest() && now.Sub(t.at) < announceInterval) {
+		sent := c.announced[l.Name]
+		if l.Name == c.r.cfg.Name || (sent.versionID == c.acceptor.Latest() && now.Sub(sent.at) < announceInterval) {
 			continue
 		}
-		c.announceBundleVersionTo(now, l.Name, t.incarnation)
+		c.announceBundleVersionTo(now, l.Name, sent.incarnation)
 	}
 }
 
 func (c *controller) announceBundleVersionTo(now time.Time, peer string, incarnation uint64) {
-	m := c.acceptor.Latest()
-	c.announced[peer] = announcement{versionID: m, incarnation: incarnation, at: now}
-	c.r.mesh.Notify(peer, methodBundleVersion, bundleVersionMessage{From: c.r.cfg.Name, VersionID: m})
+	id := c.acceptor.Latest()
+	c.announced[peer] = announcement{versionID: id, incarnation: incarnation, at: now}
+	c.r.mesh.Notify(peer, methodBundleVersion, bundleVersionMessage{From: c.r.cfg.Name, VersionID: id})
 }
--- a/router/peers.go
+++ b/router/peers.go
@@ -76,7 +76,7 @@
 func (h *peerHandler) Call(ctx context.Context, method string, params json.RawMessage) (any, error) {
 	switch method {
 	case methodBundle:
-		return h.r.heldBundle(), nil
+		return h.r.latestBundle(), nil
 	case methodVote:
 		var m keyMessage
 		if err := json.Unmarshal(params, &m); err != nil {
@@ -93,11 +93,11 @@
 	return nil, Error.New("unknown method %q", method)
 }
 
-func (r *Router) heldBundle() *bundle.Signed {
+func (r *Router) latestBundle() *bundle.Signed {
 	var signed *bundle.Signed
 	r.inspect(func(c *controller) {
-		if c.held != nil {
-			signed = c.held.signed
+		if c.latest != nil {
+			signed = c.latest.signed
 		}
 	})
 	return signed
--- a/sched/action.go
+++ b/sched/action.go
@@ -6,7 +6,7 @@
 // or a Redial.
 type Action interface{ action() }
 
-// Dispatch sends a request to an upstream.
+// Dispatch sends a request to an upstream. It is unrelated to package dispatch.
 type Dispatch struct {
 	Request  RequestID
 	Upstream int
--- a/sched/doc.go
+++ b/sched/doc.go
@@ -9,9 +9,14 @@
 // returned by Actions. The daemon and the benchmarks drive the same Node.
 //
 // In short: a request waits at the router that received it. Every upstream has a
-// home router, which leases the upstream's slots. When a slot becomes idle, its
-// holder serves its own team with the lowest key, unless that team is ahead of
-// the fleet's least served waiting team by more than the hysteresis: in that
+// home router, which leases the upstream's slots. When a slot becomes idle, the
+// router that holds it serves the team with the lowest key (its weighted service
+// so far) among those waiting there, unless that key exceeds the lowest key of a
+// team waiting elsewhere by more than Config.Hysteresis mean request costs. In that
 // case the slot is returned to its home, which grants it to the router where the
-// least served team waits.
+// team with the lowest key waits.
+//
+// The package is used by daemon.Daemon, the router configured by signed bundles.
+// daemon.FleetDaemon, the router on the users' platform, uses packages gateway,
+// fleet, dispatch and feed instead.
 package sched
--- a/sched/dump.go
+++ b/sched/dump.go
@@ -59,7 +59,7 @@
 func (n *Node) Dump(now time.Time) Dump {
 	d := Dump{
 		Router: n.cfg.Router, Incarnation: n.cfg.Incarnation, Live: n.live,
-		Joined: n.joined, Draining: n.leaving, Waiting: len(n.requests), Running: len(n.running),
+		Joined: n.joined, Draining: n.draining, Waiting: len(n.requests), Running: len(n.running),
 	}
 	for _, id := range slices.Sorted(maps.Keys(n.pools)) {
 		d.Pools = append(d.Pools, n.pools[id].dump(now))
--- a/sched/node.go
+++ b/sched/node.go
@@ -31,9 +31,9 @@
 	// pause of the process.
 	startedAt, lastTickAt, lastReportAt, lastSlotRequestAt time.Time
 	// joined is set once a peer's snapshot was applied, or when no peer has one.
-	joined  bool
-	leaving bool
-	actions []Action
+	joined   bool
+	draining bool
+	actions  []Action
 }
 
 // NewNode returns a node without peers and settings.
@@ -214,8 +214,8 @@
 // endGracePeriods ends the grace periods of new tables early once no router can
 // hold slots that they don't count: every router that is listed or sent a
 // message is reachable and has confirmed that it uses the same live routers, and
-// so has claimed the slots that it holds. Without it, a join or a graceful leave
-// would make slots unavailable for a lease time.
+// so has claimed the slots that it holds. Without it, a router that joins or
+// drains would make slots unavailable for a lease time.
 func (n *Node) endGracePeriods(now time.Time) {
 	for _, name := range n.view.Peers(now) {
 		if !n.view.Reachable(now, name) || !n.linkTo(name).converged {
--- a/sched/requests.go
+++ b/sched/requests.go
@@ -38,7 +38,7 @@
 // refusal returns true, with the reason, if the request must be refused at once.
 func (n *Node) refusal(now time.Time, p *pool, r *Request) (Reason, bool) {
 	switch {
-	case n.leaving:
+	case n.draining:
 		return ShuttingDown, true
 	case p.queue.Waiting(r.Team) >= n.cfg.QueuePerTeam:
 		return QueueFull, true
@@ -119,7 +119,7 @@
 // requests continue to the end, idle slots are returned, and the peers are
 // notified.
 func (n *Node) Drain(now time.Time) {
-	n.leaving = true
+	n.draining = true
 	n.view.Leave()
 	for _, id := range slices.Sorted(maps.Keys(n.requests)) {
 		r := n.requests[id]
--- a/sched/send.go
+++ b/sched/send.go
@@ -22,7 +22,7 @@
 	l.sentAt = now
 	s := Sync{
 		From: n.cfg.Router, Incarnation: n.cfg.Incarnation, ToIncarnation: l.incarnation,
-		Seq: l.lastSent, LiveHash: n.liveHash, Missed: l.requestFull, Joining: !n.joined, Draining: n.leaving,
+		Seq: l.lastSent, LiveHash: n.liveHash, Missed: l.requestFull, Joining: !n.joined, Draining: n.draining,
 	}
 	if l.urgent || now.Sub(l.ackSentAt) >= n.cfg.Heartbeat {
 		// A lease lasts for several heartbeats, so more acknowledgements would only cost bytes.
