--- a/daemon/fleet.go
+++ b/daemon/fleet.go
@@ -70,7 +70,7 @@
 	cfg.Regions = s.Regions
 	cfg.Fit(int64(s.MemoryMB)<<20, s.Files)
 	cfg.GracePeriod = s.Bounds.TerminationGracePeriod()
-	cfg.MaxViewAge = s.Bounds.MaxApplyDelay() * 4 / 5
+	cfg.MaxStateAge = s.Bounds.MaxApplyDelay() * 4 / 5
 	cfg.ShutdownDelay = min(cfg.ShutdownDelay, cfg.GracePeriod/2)
 	cfg.ForwardPeriod = min(cfg.ForwardPeriod, cfg.GracePeriod/3)
 	budget := retry.Budget{Ratio: s.Bounds.RetryRatio, Allowance: s.Bounds.RetryAllowance, Window: s.Bounds.RetryWindow()}
--- a/daemon/teams.go
+++ b/daemon/teams.go
@@ -41,7 +41,7 @@
 			counters.add(&l)
 			d.log.Info().Str("event", "team").Str("team", l.Team).Int("asked", l.Received).Int64("asked_tokens", int64(l.ReceivedTokens)).
 				Int("sent", l.Sent).Int64("sent_tokens", int64(l.SentTokens)).Int("begun", l.Started).Int64("begun_tokens", int64(l.StartedTokens)).Int("over_share", l.OverShare).Int("no_room", l.NoCapacity).
-				Int("shed", l.Shed).Int64("shed_age_ms", l.ShedAge.Milliseconds()).Int("busy", l.RouterBusy).Int("full", l.RouterFull).
+				Int("shed", l.Shed).Int64("shed_age_ms", l.ShedAge.Milliseconds()).Int("busy", l.RouterOverloaded).Int("full", l.RouterFull).
 				Int64("lag_ms", lag.Milliseconds()).Msg("team request counts")
 		}
 	}
@@ -87,7 +87,7 @@
 	t.overShare.Inc(int64(l.OverShare))
 	t.noCapacity.Inc(int64(l.NoCapacity))
 	t.shed.Inc(int64(l.Shed))
-	t.routerBusy.Inc(int64(l.RouterBusy))
+	t.routerBusy.Inc(int64(l.RouterOverloaded))
 	t.routerFull.Inc(int64(l.RouterFull))
 	t.receivedTokens.Inc(int64(l.ReceivedTokens))
 	t.sentTokens.Inc(int64(l.SentTokens))
--- a/fleet/fuzz_test.go
+++ b/fleet/fuzz_test.go
@@ -39,10 +39,10 @@
 			Crashes: []crashReport{{Team: "t", Hash: 1, RanMs: -1}},
 			Notices: []statusNotice{{Team: "t", Hash: 1, Status: 200, Version: 1 << 31, LeftS: -1}},
 		}}},
-		{From: 2, Infrequent: &infrequent{Shed: &shedReport{Service: "llm", Group: 1 << 40, Requests: []shedRequest{{Fingerprint: 1, AgeMs: -1, LeftMs: -1}}}}},
-		{From: 2, Infrequent: &infrequent{Usage: &usageReport{Teams: []teamUsage{{Team: "t", Window: -1, Lately: float32(math.NaN())}}}}},
+		{From: 2, Infrequent: &infrequent{Shed: &shedReport{Service: "llm", Group: 1 << 40, Requests: []shedRequest{{Fingerprint: 1, AgeMs: -1, TimeoutMs: -1}}}}},
+		{From: 2, Infrequent: &infrequent{Usage: &usageReport{Teams: []teamUsage{{Team: "t", Window: -1, Recent: float32(math.NaN())}}}}},
 		{From: 2, Infrequent: &infrequent{Usage: &usageReport{IsReply: true, Teams: []teamUsage{{Team: "t", Window: float32(math.Inf(1))}}}}},
-		{From: 2, Report: &report{Kind: reportInFlight, Seq: 1, Service: "llm", Held: &placeRequest{}, Upstream: "u"}},
+		{From: 2, Report: &report{Kind: reportInFlight, Seq: 1, Service: "llm", Request: &placeRequest{}, Upstream: "u"}},
 	} {
 		raw, err := cbor.Marshal(&p)
 		if err != nil {
--- a/fleet/group.go
+++ b/fleet/group.go
@@ -247,7 +247,7 @@
 		}
 		n.send(home.addr, &packet{Report: &report{
 			Kind: reportInFlight, Seq: h.request.Ticket.Seq, Service: h.key.service, Group: h.key.index,
-			Held: n.newPlaceRequest(h.key, h.request), Upstream: h.upstream.ID, Started: h.upstream.Started, ResponseStarted: h.responseStarted,
+			Request: n.newPlaceRequest(h.key, h.request), Upstream: h.upstream.ID, Started: h.upstream.Started, ResponseStarted: h.responseStarted,
 		}})
 	}
 }
--- a/fleet/home.go
+++ b/fleet/home.go
@@ -51,7 +51,7 @@
 		}
 		n.send(m.addr, &packet{Reply: &placeReply{
 			Seq: d.Ticket.Seq, Service: key.service, Group: n.groupNumberOf(key), Verdict: d.Verdict, Upstream: d.Upstream, CopyFrom: d.CopyFrom,
-			RetryMs: millis(d.RetryAfter), WaitMs: millis(d.PredictedFirstByte), WaitedMs: millis(d.SinceFirstAttempt), Over: d.OverShare, Warming: d.Warming,
+			RetryAfterMs: millis(d.RetryAfter), PredictedFirstByteMs: millis(d.PredictedFirstByte), SinceFirstAttemptMs: millis(d.SinceFirstAttempt), OverShare: d.OverShare, Warming: d.Warming,
 			Allowance: float32(d.Allowance),
 		}})
 	}
@@ -75,8 +75,8 @@
 	case reportEnded:
 		n.deliver(now, key, g.core.Done(at, ticket, r.Outcome, duration(r.DurationMs)))
 	case reportInFlight:
-		if r.Held != nil {
-			g.core.AddInFlight(at, r.Held.toDispatch(from), dispatch.Incarnation{ID: r.Upstream, Started: r.Started}, r.ResponseStarted)
+		if r.Request != nil {
+			g.core.AddInFlight(at, r.Request.toDispatch(from), dispatch.Incarnation{ID: r.Upstream, Started: r.Started}, r.ResponseStarted)
 		}
 	}
 }
--- a/fleet/message.go
+++ b/fleet/message.go
@@ -77,21 +77,21 @@
 
 // placeRequest asks the home of a group to place a request.
 type placeRequest struct {
-	_        struct{} `cbor:",toarray"`
-	Seq      uint64
-	ID       string
-	Service  string
-	Group    groupNumber
-	Team     string
-	Rank     int
-	Prompt   int
-	Output   int
-	Parts    []part
-	TargetMs int32
-	LeftMs   int32
-	Warm     string
-	Avoid    []string
-	Regions  []string
+	_         struct{} `cbor:",toarray"`
+	Seq       uint64
+	ID        string
+	Service   string
+	Group     groupNumber
+	Team      string
+	Priority  int
+	Prompt    int
+	Output    int
+	Parts     []part
+	TargetMs  int32
+	TimeoutMs int32
+	CacheHint string
+	Avoid     []string
+	Regions   []string
 }
 
 type part struct {
@@ -102,17 +102,17 @@
 
 // placeReply is a home's decision on a placeRequest.
 type placeReply struct {
-	_        struct{} `cbor:",toarray"`
-	Seq      uint64
-	Service  string
-	Group    groupNumber
-	Verdict  dispatch.Verdict
-	Upstream string
-	CopyFrom string
-	RetryMs  int32
-	WaitMs   int32
-	WaitedMs int32
-	Over     bool
+	_                    struct{} `cbor:",toarray"`
+	Seq                  uint64
+	Service              string
+	Group                groupNumber
+	Verdict              dispatch.Verdict
+	Upstream             string
+	CopyFrom             string
+	RetryAfterMs         int32
+	PredictedFirstByteMs int32
+	SinceFirstAttemptMs  int32
+	OverShare            bool
 	// Warming is set if the upstream is warming up.
 	Warming bool
 	// Allowance limits the requests that the receiver may send for the team, in tokens per
@@ -142,9 +142,9 @@
 	Group      int
 	Outcome    dispatch.Outcome
 	DurationMs int32
-	// Held and Upstream are set with reportInFlight; ResponseStarted if the first byte of
+	// Request and Upstream are set with reportInFlight; ResponseStarted if the first byte of
 	// the response was received.
-	Held     *placeRequest
+	Request  *placeRequest
 	Upstream string
 	// Started is when the upstream's process that has the request was started.
 	Started         int64
@@ -174,7 +174,7 @@
 type teamUsage struct {
 	_              struct{} `cbor:",toarray"`
 	Team           string
-	Window, Lately float32
+	Window, Recent float32
 }
 
 // quarantineUpdate carries crashes and successes to the hub of a content, and notices to
@@ -228,8 +228,8 @@
 type shedRequest struct {
 	_           struct{} `cbor:",toarray"`
 	Fingerprint uint64
-	// AgeMs is how long ago the request arrived, LeftMs how long its caller would wait
+	// AgeMs is how long ago the request arrived, TimeoutMs how long its caller would wait
 	// from then on.
-	AgeMs  int32
-	LeftMs int32
+	AgeMs     int32
+	TimeoutMs int32
 }
--- a/fleet/place.go
+++ b/fleet/place.go
@@ -158,7 +158,7 @@
 	}
 	n.applyDecision(now, dispatch.Decision{
 		Ticket: dispatch.Ticket{Router: n.self, Seq: r.Seq}, Verdict: r.Verdict, Upstream: r.Upstream, CopyFrom: r.CopyFrom,
-		RetryAfter: duration(r.RetryMs), PredictedFirstByte: duration(r.WaitMs), SinceFirstAttempt: duration(r.WaitedMs), OverShare: r.Over, Warming: r.Warming,
+		RetryAfter: duration(r.RetryAfterMs), PredictedFirstByte: duration(r.PredictedFirstByteMs), SinceFirstAttempt: duration(r.SinceFirstAttemptMs), OverShare: r.OverShare, Warming: r.Warming,
 		Allowance: validAllowance(r.Allowance),
 	})
 }
--- a/fleet/shed.go
+++ b/fleet/shed.go
@@ -93,7 +93,7 @@
 	for _, e := range entries {
 		tokens += dispatch.ChargedTokens(&e.request)
 		m.Requests = append(m.Requests, shedRequest{
-			Fingerprint: uint64(e.fingerprint), AgeMs: millis(now.Sub(e.at)), LeftMs: millis(e.request.Timeout),
+			Fingerprint: uint64(e.fingerprint), AgeMs: millis(now.Sub(e.at)), TimeoutMs: millis(e.request.Timeout),
 		})
 	}
 	m.Tokens = int(tokens)
@@ -112,7 +112,7 @@
 	var requests []dispatch.ShedRequest
 	for _, r := range m.Requests {
 		requests = append(requests, dispatch.ShedRequest{
-			Fingerprint: dispatch.Fingerprint(r.Fingerprint), Age: duration(r.AgeMs), Timeout: duration(r.LeftMs),
+			Fingerprint: dispatch.Fingerprint(r.Fingerprint), Age: duration(r.AgeMs), Timeout: duration(r.TimeoutMs),
 		})
 	}
 	g.core.RecordShed(time.Duration(now), from, m.Team, float64(max(m.Tokens, 0)), requests)
--- a/fleet/team_usage.go
+++ b/fleet/team_usage.go
@@ -159,13 +159,13 @@
 }
 
 func newTeamUsage(team string, got dispatch.Usage) teamUsage {
-	return teamUsage{Team: team, Window: float32(got.Window), Lately: float32(got.Recent)}
+	return teamUsage{Team: team, Window: float32(got.Window), Recent: float32(got.Recent)}
 }
 
 // validUsage returns the usage that a peer has reported. Invalid numbers count as zero,
 // because they would distort the shares of all teams.
 func (t *teamUsage) validUsage() dispatch.Usage {
-	return dispatch.Usage{Window: validTokens(t.Window), Recent: validTokens(t.Lately)}
+	return dispatch.Usage{Window: validTokens(t.Window), Recent: validTokens(t.Recent)}
 }
 
 // maxTokens is more than any team uses within the window of the shares.
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -40,10 +40,10 @@
 	MaxRequests int
 	// Shed configures which requests are refused without asking a home.
 	Shed limits.ShedConfig
-	// MaxViewAge is the maximum age of the view with which an overloaded router still
+	// MaxStateAge is the maximum age of the state with which an overloaded router still
 	// sends requests. It is below the time within which requests to leaving upstreams
 	// must stop, and leaves room for the transmission of a request.
-	MaxViewAge time.Duration
+	MaxStateAge time.Duration
 	// DefaultDeadline applies to requests without a deadline header.
 	DefaultDeadline time.Duration
 	// DeadlineMargin is how long before the caller's deadline a timeout response is sent,
@@ -86,7 +86,7 @@
 		ListenBacklog:     512,
 		MaxRequests:       2000,
 		Shed:              limits.DefaultShedConfig(),
-		MaxViewAge:        1600 * time.Millisecond,
+		MaxStateAge:       1600 * time.Millisecond,
 		DefaultDeadline:   15 * time.Second,
 		DeadlineMargin:    10 * time.Millisecond,
 	}
--- a/gateway/placement_refusal.go
+++ b/gateway/placement_refusal.go
@@ -43,7 +43,7 @@
 		return overShareRefusal(d.RetryAfter)
 	}
 	if d.RouterOverloaded {
-		s.teams.update(r.teamName(), func(l *TeamLoad) { l.RouterBusy++ })
+		s.teams.update(r.teamName(), func(l *TeamLoad) { l.RouterOverloaded++ })
 		return busyRefusal()
 	}
 	s.teams.update(r.teamName(), func(l *TeamLoad) { l.NoCapacity++ })
--- a/gateway/send_check.go
+++ b/gateway/send_check.go
@@ -56,7 +56,7 @@
 // of the platform would stop all requests.
 func (s *Server) viewTooOld() bool {
 	lag := max(s.placer.Lag(), s.placer.ReadLag())
-	return lag > s.cfg.Shed.LagThreshold && s.state.Age() > s.cfg.MaxViewAge
+	return lag > s.cfg.Shed.LagThreshold && s.state.Age() > s.cfg.MaxStateAge
 }
 
 // checkKey checks the caller's key against the newest configuration.
--- a/gateway/shed.go
+++ b/gateway/shed.go
@@ -55,8 +55,8 @@
 	r.record.lag = lag
 	s.counts.shed.Add(1)
 	s.placer.ReportShed(r.service, request)
-	if verdict.Reason == limits.Busy {
-		s.teams.update(r.teamName(), func(l *TeamLoad) { l.RouterBusy++ })
+	if verdict.Reason == limits.Overloaded {
+		s.teams.update(r.teamName(), func(l *TeamLoad) { l.RouterOverloaded++ })
 		return busyRefusal()
 	}
 	s.teams.countShed(r, verdict.AllowanceAge)
--- a/gateway/teams.go
+++ b/gateway/teams.go
@@ -16,16 +16,16 @@
 	Received, Sent, Started                   int
 	ReceivedTokens, SentTokens, StartedTokens float64
 	// OverShare and NoCapacity count refusals by homes. Shed counts requests above the
-	// share that were refused without asking a home, RouterBusy refusals because this
+	// share that were refused without asking a home, RouterOverloaded refusals because this
 	// router was overloaded, RouterFull refusals because it had reached its request limit.
-	OverShare, NoCapacity, Shed, RouterBusy, RouterFull int
+	OverShare, NoCapacity, Shed, RouterOverloaded, RouterFull int
 	// ShedAge is the maximum age of a home's decision on which a request was shed.
 	ShedAge time.Duration
 }
 
 // Refused returns the number of requests that were refused for lack of capacity or share.
 func (l *TeamLoad) Refused() int {
-	return l.OverShare + l.NoCapacity + l.Shed + l.RouterBusy + l.RouterFull
+	return l.OverShare + l.NoCapacity + l.Shed + l.RouterOverloaded + l.RouterFull
 }
 
 // teamLoads collects the TeamLoads of the current interval. It is safe for concurrent use.
--- a/limits/shedder.go
+++ b/limits/shedder.go
@@ -24,8 +24,8 @@
 	NotShed ShedReason = iota
 	// OverShare means that the team has used its share.
 	OverShare
-	// Busy means that the router is lagging.
-	Busy
+	// Overloaded means that the router's lag reaches a limit of ShedConfig.
+	Overloaded
 )
 
 // Shedder decides which requests a router refuses without requesting admission from a home.
@@ -73,9 +73,9 @@
 	limited := s.allowances.Limited(a.Share)
 	switch {
 	case a.Streaming && a.Lag > s.cfg.MaxStreamLag:
-		return Verdict{Reason: Busy}
+		return Verdict{Reason: Overloaded}
 	case lagging && heavy && !limited && a.Streaming && !s.allowHeavy(a.Lag):
-		return Verdict{Reason: Busy}
+		return Verdict{Reason: Overloaded}
 	}
 	if ok, retryAfter, age := s.allowances.Take(now, a.Share, a.Tokens, lagging); !ok {
 		return Verdict{Reason: OverShare, RetryAfter: retryAfter, AllowanceAge: age}
--- a/limits/shedder_test.go
+++ b/limits/shedder_test.go
@@ -164,12 +164,12 @@
 		check(team, 0)
 	}
 	lagThreshold := limits.DefaultShedConfig().LagThreshold
-	g.Expect(check("flood", lagThreshold)).To(Equal(limits.Busy))
+	g.Expect(check("flood", lagThreshold)).To(Equal(limits.Overloaded))
 	g.Expect(check("smalla", lagThreshold)).To(Equal(limits.NotShed))
 	g.Expect(check("flood", 0)).To(Equal(limits.NotShed))
 	now += 10 * time.Second
 	check("smallb", lagThreshold)
-	g.Expect(check("flood", lagThreshold)).To(Equal(limits.Busy), "half of the recent requests")
+	g.Expect(check("flood", lagThreshold)).To(Equal(limits.Overloaded), "half of the recent requests")
 }
 
 // Guards against a lagging router that sheds all requests of a heavy team.
