--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -29,7 +29,7 @@
 // prefill takes most of the target, only the wait is limited, because waiting less does
 // not shorten the prefill.
 func (c *Core) admit(now time.Duration, j *job, candidate choice) bool {
-	if j.overShare() && c.teams.exceedsMaxUsage(now, j.Team) {
+	if j.overShare() && c.shares.exceedsMaxUsage(now, j.Team) {
 		return false
 	}
 	if j.sinceFirstAttempt > 0 && candidate.firstByte-candidate.wait > j.Target {
@@ -62,8 +62,8 @@
 const minRetryAfter = 100 * time.Millisecond
 
 func (c *Core) refuse(now time.Duration, j *job, candidate choice) {
-	c.teams.lastRefusalAt = now
-	c.teams.recordRefusal(now, j.Team)
+	c.shares.lastRefusalAt = now
+	c.shares.recordRefusal(now, j.Team)
 	c.counts.Refused++
 	switch {
 	case j.overShare():
@@ -78,15 +78,15 @@
 	retryAfter := max(candidate.firstByte-max(j.Target, 0)/2, minRetryAfter)
 	c.decisions = append(c.decisions, Decision{
 		Ticket: j.Ticket, Verdict: Refuse, RetryAfter: retryAfter, PredictedFirstByte: candidate.firstByte, SinceFirstAttempt: j.sinceFirstAttempt, OverShare: j.overShare(), Details: c.refusalDetails(now, j, candidate.u),
-		Allowance: c.teams.allowance(now, j.Ticket.Router, j.Team),
+		Allowance: c.shares.allowance(now, j.Ticket.Router, j.Team),
 	})
 }
 
 // refusalDetails returns the state on which a refusal is based.
 func (c *Core) refusalDetails(now time.Duration, j *job, u *upstream) RefusalDetails {
-	details := RefusalDetails{ID: j.ID, Team: j.Team, Served: c.teams.teamUsage(j.Team)}
-	if !math.IsInf(c.teams.fairShare, 1) {
-		details.Share = c.teams.fairShare
+	details := RefusalDetails{ID: j.ID, Team: j.Team, Served: c.shares.teamUsage(j.Team)}
+	if !math.IsInf(c.shares.fairShare, 1) {
+		details.Share = c.shares.fairShare
 	}
 	for _, member := range c.upstreams {
 		if member.warming(now) {
--- a/dispatch/allowance.go
+++ b/dispatch/allowance.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// The home of a team's requests returns an allowance to each router: the rate at which the
-// router may request tokens for the team. The router refuses the rest without asking the
-// home.
+// The home of a group returns to each router an allowance for each team: the rate at which
+// the router may request tokens for the team. The router refuses the rest without asking
+// the home.
 //
 // Callers of one team often use the same router. If a router throttles by its recent
 // refusals, it can't distinguish a team that has used its share from one whose replies
--- a/dispatch/completion.go
+++ b/dispatch/completion.go
@@ -36,7 +36,7 @@
 		return
 	}
 	if j.state == sent && o.notRun() {
-		c.teams.refund(now, j)
+		c.shares.refund(now, j)
 	}
 	u.finish(j, now, o, took)
 	c.sendQueuedToMember(now, u)
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -9,7 +9,7 @@
 	upstreams   []*upstream
 	byID        map[string]*upstream
 	jobs        map[Ticket]*job
-	teams       *shares
+	shares      *shares
 	decisions   []Decision
 	nextSweepAt time.Duration
 	// lastOverShareFraction is the value of overShareFraction at overShareUpdatedAt.
@@ -25,11 +25,11 @@
 
 // New returns a core without upstreams.
 func New(cfg Config) *Core {
-	return &Core{cfg: cfg, byID: map[string]*upstream{}, jobs: map[Ticket]*job{}, teams: newShares(cfg.ShareWindow)}
+	return &Core{cfg: cfg, byID: map[string]*upstream{}, jobs: map[Ticket]*job{}, shares: newShares(cfg.ShareWindow)}
 }
 
 // SetCapacity sets the throughput of the group's upstreams, in tokens per second.
-func (c *Core) SetCapacity(tokensPerSecond float64) { c.teams.capacity = tokensPerSecond }
+func (c *Core) SetCapacity(tokensPerSecond float64) { c.shares.capacity = tokensPerSecond }
 
 // takeDecisions returns the decisions made since the last call.
 func (c *Core) takeDecisions() []Decision {
@@ -55,9 +55,9 @@
 	j := c.newJob(now, r)
 	j.reservedKV = r.Output
 	c.applyCacheHint(&j.Request)
-	c.charge(now, j)
-	c.teams.utilization = c.meanUtilization(now) / c.teams.windowCoverage(now, utilizationWindow)
-	j.shareStatus = c.teams.shareStatus(now, r.Team)
+	c.recordDemand(now, j)
+	c.shares.utilization = c.meanUtilization(now) / c.shares.windowCoverage(now, utilizationWindow)
+	j.shareStatus = c.shares.shareStatus(now, r.Team)
 	c.counts.Submitted++
 	c.jobs[r.Ticket] = j
 	c.place(now, j)
@@ -99,17 +99,17 @@
 	return float64(r.Prompt) + outputTokenWeight*float64(r.Output)
 }
 
-// charge adds a request to its team's demand. The whole prompt is charged, cached or not:
+// recordDemand adds a request to its team's demand. The whole prompt counts, cached or not:
 // the scheduler decides where parts are cached, and otherwise a team whose sessions happen
 // to be cached would get more of a scarce capacity.
-func (c *Core) charge(now time.Duration, j *job) {
+func (c *Core) recordDemand(now time.Duration, j *job) {
 	cached := 0
 	for _, u := range c.upstreams {
 		cached = max(cached, u.cache.cachedPrefix(j.Parts))
 	}
 	j.chargedTokens = ChargedTokens(&j.Request)
 	j.reservedKV = max(j.Prompt-cached, 0) + j.Output
-	c.teams.addRequested(now, j.Ticket.Router, j.Team, j.chargedTokens)
+	c.shares.addRequested(now, j.Ticket.Router, j.Team, j.chargedTokens)
 }
 
 // place chooses the best upstream and then sends, queues or refuses the request.
@@ -140,10 +140,10 @@
 	j.warming = warming
 	u.assign(j, now)
 	c.counts.Sent++
-	c.teams.addServed(now, j.Team, j.chargedTokens)
+	c.shares.addServed(now, j.Team, j.chargedTokens)
 	d := Decision{
 		Ticket: j.Ticket, Verdict: Send, Upstream: u.ID, PredictedFirstByte: predictedFirstByte, SinceFirstAttempt: j.sinceFirstAttempt, OverShare: j.overShare(), Warming: warming,
-		Allowance: c.teams.allowance(now, j.Ticket.Router, j.Team),
+		Allowance: c.shares.allowance(now, j.Ticket.Router, j.Team),
 	}
 	if j.copyFrom != nil {
 		d.CopyFrom = j.copyFrom.ID
--- a/dispatch/job.go
+++ b/dispatch/job.go
@@ -59,7 +59,7 @@
 		return bLate
 	}
 	if a.shareStatus == overFleetShare && a.Team != b.Team {
-		return c.teams.recentUsage(now, a.Team) < c.teams.recentUsage(now, b.Team)
+		return c.shares.recentUsage(now, a.Team) < c.shares.recentUsage(now, b.Team)
 	}
 	return a.targetAt-a.cost < b.targetAt-b.cost
 }
--- a/dispatch/ledger.go
+++ b/dispatch/ledger.go
@@ -4,13 +4,13 @@
 
 // Ledger aggregates the usage of teams from the reports of all homes of the fleet.
 //
-// Users compare teams over the whole fleet, while a home only sees its own engines. The
-// usage at other homes can't come from the routers that submit requests: one of hundreds
-// of routers submits to a given home less than once a second, and homes counted only a
-// third of the usage of a team spread over all routers, but all of the usage of a team
-// behind one router. Homes have exact figures for what they served, whichever router
-// submitted it; so the age of a team's usage is the time since the last report, however
-// many routers the team uses.
+// Teams compare what they get from the whole fleet, while a home only sees its own
+// engines. The usage at other homes can't come from the routers that submit requests: one
+// of hundreds of routers submits to a given home less than once a second, and homes
+// counted only a third of the usage of a team spread over all routers, but all of the
+// usage of a team behind one router. Homes have exact figures for what they served,
+// whichever router submitted it; so the age of a team's usage is the time since the last
+// report, however many routers the team uses.
 //
 // The usage at a home that stops reporting counts until it has decayed, so that it isn't
 // lost when another home takes over. A Ledger isn't safe for concurrent use.
--- a/dispatch/members.go
+++ b/dispatch/members.go
@@ -75,9 +75,9 @@
 // SeedCache adds the prompt parts that an upstream reports as cached. Without them a new
 // home would count every prompt as uncached, refuse requests that could be served and
 // spread sessions over the engines.
-func (c *Core) SeedCache(at Incarnation, parts []Part) {
-	u := c.byID[at.ID]
-	if u == nil || !u.Same(at) {
+func (c *Core) SeedCache(incarnation Incarnation, parts []Part) {
+	u := c.byID[incarnation.ID]
+	if u == nil || !u.Same(incarnation) {
 		return
 	}
 	for i := range parts {
@@ -86,9 +86,9 @@
 }
 
 // AddInFlight adds a request that a router sent before this core became its home.
-func (c *Core) AddInFlight(now time.Duration, r Request, at Incarnation, hasStarted bool) {
-	u := c.byID[at.ID]
-	if u == nil || !u.Same(at) || c.jobs[r.Ticket] != nil {
+func (c *Core) AddInFlight(now time.Duration, r Request, incarnation Incarnation, hasStarted bool) {
+	u := c.byID[incarnation.ID]
+	if u == nil || !u.Same(incarnation) || c.jobs[r.Ticket] != nil {
 		return
 	}
 	j := &job{Request: r, targetAt: now + r.Target, deadlineAt: now + r.Timeout, expiresAt: now + r.Timeout + time.Second}
--- a/dispatch/repeated_requests.go
+++ b/dispatch/repeated_requests.go
@@ -100,8 +100,8 @@
 // RecordShed records requests of a team that a router refused without submitting them,
 // with the number of tokens requested.
 func (c *Core) RecordShed(now time.Duration, router uint64, team string, tokens float64, requests []ShedRequest) {
-	c.teams.addRequested(now, router, team, tokens)
-	c.teams.recordRefusal(now, team)
+	c.shares.addRequested(now, router, team, tokens)
+	c.shares.recordRefusal(now, team)
 	for _, r := range requests {
 		at := now - r.Age
 		c.refusals.record(now, r.Fingerprint, refusedRequest{firstAttemptAt: at, deadlineAt: at + r.Timeout})
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -4,7 +4,8 @@
 
 // Ticket identifies a request within the fleet.
 type Ticket struct {
-	// Router is the incarnation of the router that holds the request.
+	// Router is the ID of the router that received the request from its caller, a random
+	// number chosen at each start.
 	Router uint64
 	Seq    uint64
 }
--- a/dispatch/share_status.go
+++ b/dispatch/share_status.go
@@ -21,14 +21,14 @@
 // A team that floods alone gets the spare capacity, so its usage is far above its share
 // when a second team starts or engines are lost. Balancing at once gave the second team a
 // whole window's share within 1 to 2 seconds and the first team nothing: over six seconds
-// one team got 0.41 of the other's tokens, and users consider less than half unfair.
+// one team got 0.41 of the other's tokens, and teams consider less than half unfair.
 // Within a band around the fair rate, no team gets less than minFairRate/maxFairRate of
 // another, whatever their accounts are; the window is balanced with the rest. Bound:
 // 0.8/1.2 = 0.67 of the other over a time that is long compared with rateWindow, less the
 // largest request.
 const (
 	// rateWindow is the window of the rates. It covers several requests of a busy team,
-	// and is short compared with the six seconds over which users compare teams.
+	// and is short compared with the six seconds over which teams compare what they get.
 	rateWindow = time.Second
 	// minFairRate is the fraction of the fair rate up to which a team is within its share,
 	// whatever it got before.
@@ -40,7 +40,7 @@
 
 // shareStatus returns the status of a team.
 //
-// Users compare what teams get from the whole fleet. If each group divided its capacity
+// Teams compare what they get from the whole fleet. If each group divided its capacity
 // evenly on its own, a team whose sessions belong to one group would get a fraction of
 // what others get from several groups.
 func (s *shares) shareStatus(now time.Duration, team string) shareStatus {
--- a/dispatch/shares.go
+++ b/dispatch/shares.go
@@ -13,7 +13,7 @@
 	window time.Duration
 	// capacity is the throughput of the upstreams in tokens per second, or 0 if unknown.
 	capacity float64
-	teams    map[string]*account
+	accounts map[string]*account
 	// fairShare is a team's share of the whole fleet, and groupShare its share of this
 	// group's engines alone.
 	fairShare, groupShare float64
@@ -25,7 +25,7 @@
 	// utilization is the fraction of time in which the upstreams had a backlog.
 	utilization    float64
 	firstRequestAt time.Duration
-	// lastRefusalAt is when a request was last refused for lack of capacity.
+	// lastRefusalAt is when this core last refused a request, for any reason.
 	lastRefusalAt time.Duration
 }
 
@@ -34,14 +34,14 @@
 const shareUpdateInterval = 100 * time.Millisecond
 
 func newShares(window time.Duration) *shares {
-	return &shares{window: window, teams: map[string]*account{}, fairShare: math.Inf(1), groupShare: math.Inf(1), maxUsage: Usage{math.Inf(1), math.Inf(1)}}
+	return &shares{window: window, accounts: map[string]*account{}, fairShare: math.Inf(1), groupShare: math.Inf(1), maxUsage: Usage{math.Inf(1), math.Inf(1)}}
 }
 
 func (s *shares) account(now time.Duration, team string) *account {
-	a := s.teams[team]
+	a := s.accounts[team]
 	if a == nil {
 		a = &account{updatedAt: now}
-		s.teams[team] = a
+		s.accounts[team] = a
 	}
 	a.decay(now, s.window)
 	return a
@@ -59,9 +59,9 @@
 	s.account(now, team).addServed(tokens)
 }
 
-// refund reverses the charge for a request that didn't run. If a reply is late, routers
-// submit the request to several homes and each charges it; without a refund the team would
-// be limited to a part of its share.
+// refund removes the tokens of a request that didn't run from the team's served tokens; its
+// demand is kept. If a reply is late, routers submit the request to several homes and each
+// counts it as served; without a refund the team would be limited to a part of its share.
 func (s *shares) refund(now time.Duration, j *job) {
 	s.account(now, j.Team).refund(now-j.sentAt, s.window, j.chargedTokens)
 }
@@ -72,7 +72,7 @@
 
 // teamUsage returns what a team got within the window from all homes.
 func (s *shares) teamUsage(team string) float64 {
-	if a := s.teams[team]; a != nil {
+	if a := s.accounts[team]; a != nil {
 		return a.total()
 	}
 	return 0
@@ -88,7 +88,8 @@
 
 const (
 	// maxUsageRatio is the maximum ratio between the usage of a team and that of the least
-	// served waiting team. Users consider a ratio of 2 or more unfair.
+	// served waiting team. Teams compare what they get over six seconds and consider less
+	// than half of another team's tokens unfair, that is a ratio above 2.
 	maxUsageRatio = 1.6
 	// waitingPeriod is how long after a refusal a team counts as waiting for service.
 	waitingPeriod = time.Second
@@ -107,7 +108,7 @@
 // share no team is limited.
 func (s *shares) computeMaxUsage(now time.Duration) Usage {
 	lowest := Usage{Window: math.Inf(1), Recent: math.Inf(1)}
-	for _, a := range s.teams {
+	for _, a := range s.accounts {
 		a.decay(now, s.window)
 		if !s.isWaiting(now, a) {
 			continue
@@ -146,13 +147,13 @@
 
 // computeShares updates the max-min fair shares and deletes idle accounts.
 func (s *shares) computeShares(now time.Duration) {
-	demands := make([]demand, 0, len(s.teams))
-	local := make([]demand, 0, len(s.teams))
-	served := make([]float64, 0, len(s.teams))
-	for name, a := range s.teams {
+	demands := make([]demand, 0, len(s.accounts))
+	local := make([]demand, 0, len(s.accounts))
+	served := make([]float64, 0, len(s.accounts))
+	for name, a := range s.accounts {
 		a.decay(now, s.window)
 		if a.requested < minAccountTokens && a.served < minAccountTokens {
-			delete(s.teams, name)
+			delete(s.accounts, name)
 			continue
 		}
 		demands = append(demands, demand{requested: a.requested, remote: a.remote.Window})
@@ -172,8 +173,8 @@
 // what they served, extrapolated to the time in which they had no backlog. A share
 // computed from the served tokens alone collapses: refusals reduce what is served, which
 // reduces the share, which causes more refusals while engines are idle. The throughput
-// that operators publish is for a typical mix; with warm caches the engines serve more,
-// after a loss of engines less.
+// that operators publish is for a typical mix; when more of the prompts is cached the
+// engines serve more, after a loss of engines less.
 func (s *shares) availableCapacity(now time.Duration) float64 {
 	if s.lastRefusalAt == 0 || now-s.lastRefusalAt >= saturationPeriod {
 		return math.Inf(1)
--- a/dispatch/state.go
+++ b/dispatch/state.go
@@ -44,8 +44,8 @@
 
 // State returns the core's state.
 func (c *Core) State(now time.Duration) State {
-	s := State{Upstreams: len(c.upstreams), Served: c.teams.totalServed, OverShareTargetFraction: c.overShareFraction(now), Counts: c.counts}
-	s.FairShare, s.Capacity = finite(c.teams.fairShare), finite(c.teams.availableCapacity(now))
+	s := State{Upstreams: len(c.upstreams), Served: c.shares.totalServed, OverShareTargetFraction: c.overShareFraction(now), Counts: c.counts}
+	s.FairShare, s.Capacity = finite(c.shares.fairShare), finite(c.shares.availableCapacity(now))
 	for _, u := range c.upstreams {
 		u.update(now)
 		s.Utilization += u.utilization
--- a/dispatch/team_state.go
+++ b/dispatch/team_state.go
@@ -26,9 +26,9 @@
 
 // Teams returns the accounts of at most limit teams, by descending demand.
 func (c *Core) Teams(now time.Duration, limit int) []TeamState {
-	states := make([]TeamState, 0, len(c.teams.teams))
-	for name, a := range c.teams.teams {
-		a.decay(now, c.teams.window)
+	states := make([]TeamState, 0, len(c.shares.accounts))
+	for name, a := range c.shares.accounts {
+		a.decay(now, c.shares.window)
 		states = append(states, TeamState{
 			Team: name, Requested: a.requested, Served: a.served, Recent: a.recent, Remote: a.remote.Window, RequestedTotal: a.requestedTotal, ServedTotal: a.servedTotal,
 		})
@@ -38,7 +38,7 @@
 	})
 	states = states[:min(limit, len(states))]
 	for i := range states {
-		states[i].OverShare = c.teams.shareStatus(now, states[i].Team) == overFleetShare
+		states[i].OverShare = c.shares.shareStatus(now, states[i].Team) == overFleetShare
 	}
 	return states
 }
--- a/dispatch/usage_report.go
+++ b/dispatch/usage_report.go
@@ -20,12 +20,12 @@
 // UsageReport returns the local usage of the teams that other homes need: teams that wait
 // for service and teams with high usage, by descending usage.
 func (c *Core) UsageReport(now time.Duration) []TeamUsage {
-	c.teams.refresh(now)
-	threshold := minReportedFraction * c.teams.totalServed / float64(max(len(c.teams.teams), 1))
+	c.shares.refresh(now)
+	threshold := minReportedFraction * c.shares.totalServed / float64(max(len(c.shares.accounts), 1))
 	var out []TeamUsage
-	for name, a := range c.teams.teams {
-		a.decay(now, c.teams.window)
-		if a.served < minAccountTokens || a.served < threshold && !c.teams.isWaiting(now, a) {
+	for name, a := range c.shares.accounts {
+		a.decay(now, c.shares.window)
+		if a.served < minAccountTokens || a.served < threshold && !c.shares.isWaiting(now, a) {
 			continue
 		}
 		out = append(out, TeamUsage{Team: name, Usage: Usage{Window: a.served, Recent: a.recent}})
@@ -38,18 +38,18 @@
 
 // LocalUsage returns what the group served to a team.
 func (c *Core) LocalUsage(now time.Duration, team string) Usage {
-	a := c.teams.teams[team]
+	a := c.shares.accounts[team]
 	if a == nil {
 		return Usage{}
 	}
-	a.decay(now, c.teams.window)
+	a.decay(now, c.shares.window)
 	return Usage{Window: a.served, Recent: a.recent}
 }
 
 // SetRemoteUsage records what a team got from the other homes of the fleet.
 func (c *Core) SetRemoteUsage(now time.Duration, team string, usage Usage) {
-	if a := c.teams.teams[team]; a != nil {
-		a.decay(now, c.teams.window)
+	if a := c.shares.accounts[team]; a != nil {
+		a.decay(now, c.shares.window)
 		a.remoteReport, a.remote = remoteReport{usage: usage, receivedAt: now}, usage
 	}
 }
--- a/fleet/ask.go
+++ b/fleet/ask.go
@@ -8,8 +8,9 @@
 	"github.com/aspenswitch/aspenswitch/obs"
 )
 
-// sessionID returns the ID of the last part of a prompt that other requests share, 0 if
-// there is none.
+// sessionID returns the ID of the second-to-last part of a prompt, which identifies the
+// session: the last part belongs to this request alone. It returns 0 if there are fewer than
+// two parts.
 func sessionID(parts []dispatch.Part) uint64 {
 	if len(parts) < 2 {
 		return 0
@@ -29,9 +30,9 @@
 	n.send(p.home.addr, &packet{Ask: n.newPlaceRequest(p.key, p.request)})
 }
 
-// confirmInterval is the time after which a placement request that the home has queued is
+// queuedRetryInterval is the time after which a placement request that the home has queued is
 // sent again, because the decision may have been lost.
-const confirmInterval = 250 * time.Millisecond
+const queuedRetryInterval = 250 * time.Millisecond
 
 // retryPlacements sends unanswered placement requests again and handles their timeouts, so
 // that no request waits for a home that is gone.
@@ -40,15 +41,15 @@
 		if p.home == nil {
 			continue
 		}
-		if !p.acked && now >= p.timeoutAt {
+		if !p.queuedByHome && now >= p.timeoutAt {
 			n.handleTimeout(now, p)
 			continue
 		}
 		if now >= p.retryAt {
 			p.retryAt = now.Add(max(n.cfg.PlacementRetryInterval, 2*n.Lag()))
-			if p.acked {
-				p.retryAt = now.Add(confirmInterval)
-				p.acked = false
+			if p.queuedByHome {
+				p.retryAt = now.Add(queuedRetryInterval)
+				p.queuedByHome = false
 				p.timeoutAt = now.Add(n.cfg.PlacementTimeout)
 			}
 			n.send(p.home.addr, &packet{Ask: n.newPlaceRequest(p.key, p.request)})
@@ -96,7 +97,7 @@
 	failed := p.home
 	failed.unresponsive = true
 	n.limited.Warn("home_silent", func(e *obs.Event) {
-		e.Str("group", p.group.key).Uint64("router", failed.id).Dur("after", now.Sub(p.startedAt)).Msg("home did not answer a placement request in time")
+		e.Str("group", p.group.name).Uint64("router", failed.id).Dur("after", now.Sub(p.startedAt)).Msg("home did not answer a placement request in time")
 	})
 	n.cancelPlacement(failed, p.key, p.request.Ticket.Seq)
 	if p.homesAsked < maxHomesPerRequest && now.Sub(n.lastPeerContact) < isolationTimeout {
--- a/fleet/doc.go
+++ b/fleet/doc.go
@@ -6,4 +6,8 @@
 // have no such state. Every exchange tolerates loss, duplication and delay: a
 // heartbeat supersedes the ones before it, placement requests are retried, and a
 // request that no home answers is decided by the router that sent it.
+//
+// daemon.FleetDaemon, the router on the users' platform, uses this package together with
+// packages gateway, dispatch and feed. daemon.Daemon, the router configured by signed
+// bundles, uses packages callers, router, sched and lease instead.
 package fleet
--- a/fleet/dump.go
+++ b/fleet/dump.go
@@ -82,7 +82,7 @@
 		})
 	}
 	for _, g := range n.groups {
-		d.Groups = append(d.Groups, GroupDump{Group: g.key, Home: g.home, State: g.core.State(time.Duration(now))})
+		d.Groups = append(d.Groups, GroupDump{Group: g.name, Home: g.home, State: g.core.State(time.Duration(now))})
 	}
 	for _, e := range n.quarantine.table.Entries(time.Duration(now)) {
 		d.Quarantine = append(d.Quarantine, ContentDump{
@@ -125,7 +125,7 @@
 		if since.Submitted == 0 {
 			continue
 		}
-		n.log.Info().Str("event", "group").Str("group", g.key).Bool("home", g.home == n.self).
+		n.log.Info().Str("event", "group").Str("group", g.name).Bool("home", g.home == n.self).
 			Int("upstreams", s.Upstreams).Int("banned", s.Banned).Int("warming", s.Warming).Float64("use", s.Utilization).Int64("unread_ms", s.Backlog.Milliseconds()).
 			Int("waiting", s.Waiting).Int("running", s.Running).Int64("served_tokens", int64(s.Served)).
 			Int64("room_tokens", int64(s.Capacity)).Int64("share_tokens", int64(s.FairShare)).Float64("over_use", s.OverShareTargetFraction).
@@ -140,7 +140,7 @@
 // logTeams logs the usage and share of the teams of a group that refuses requests.
 func (n *Node) logTeams(now boottime.Time, g *group, level float64) {
 	for _, t := range g.core.Teams(time.Duration(now), maxTeamsLogged) {
-		n.log.Info().Str("event", "share").Str("group", g.key).Str("team", t.Team).Int64("asked_tokens", int64(t.Requested)).
+		n.log.Info().Str("event", "share").Str("group", g.name).Str("team", t.Team).Int64("asked_tokens", int64(t.Requested)).
 			Int64("served_tokens", int64(t.Served)).Int64("lately_tokens", int64(t.Recent)).
 			Int64("elsewhere_tokens", int64(t.Remote)).
 			Int64("group_asked_sum", int64(t.RequestedTotal)).Int64("group_served_sum", int64(t.ServedTotal)).
--- a/fleet/group.go
+++ b/fleet/group.go
@@ -25,7 +25,7 @@
 // group is a subset of a service's upstreams. One router, its home, decides on the requests
 // that are sent to it.
 type group struct {
-	key  string
+	name string
 	core *dispatch.Core
 	// home is the current home's incarnation, 0 if none has been chosen yet; homeSince is
 	// when it became the home.
@@ -75,7 +75,7 @@
 	if s.Table.Service(key.service).Engine != nil {
 		cfg = n.cfg.Engine
 	}
-	g := &group{key: key.service + "/" + strconv.Itoa(key.index), core: dispatch.New(cfg)}
+	g := &group{name: key.service + "/" + strconv.Itoa(key.index), core: dispatch.New(cfg)}
 	n.groups[key] = g
 	n.updateGroup(now, key, g, s)
 	return g
@@ -153,7 +153,7 @@
 
 // homeOf returns the home of a group, nil for this router. It is a hub, unless no hub is
 // reachable.
-func (n *Node) homeOf(now boottime.Time, g *group) *member { return n.hubFor(now, g.key) }
+func (n *Node) homeOf(now boottime.Time, g *group) *member { return n.hubFor(now, g.name) }
 
 // hubFor returns the hub that is responsible for a key by rendezvous hashing, nil for this
 // router. It returns nil as well if no hub is reachable.
@@ -187,7 +187,7 @@
 		}
 		first := g.home == 0
 		g.home, g.homeSince = id, now
-		n.log.Info().Str("event", "home").Str("group", g.key).Uint64("router", id).Bool("self", home == nil).Msg("home of a group changed")
+		n.log.Info().Str("event", "home").Str("group", g.name).Uint64("router", id).Bool("self", home == nil).Msg("home of a group changed")
 		if !first {
 			n.handOverRequests(now, g, home)
 		}
--- a/fleet/heartbeat.go
+++ b/fleet/heartbeat.go
@@ -155,7 +155,7 @@
 		n.deliver(now, key, g.core.Tick(time.Duration(now)))
 	}
 	n.updateHomes(now)
-	n.fleetSize.observe(now, len(n.members)+1)
+	n.recentPeak.observe(now, len(n.members)+1)
 	for key, g := range n.groups {
 		n.updateWarmUpGrant(now, g)
 		n.probeWarmUps(now, key, g)
--- a/fleet/hubs.go
+++ b/fleet/hubs.go
@@ -27,12 +27,12 @@
 type candidate struct {
 	id     uint64
 	domain string
-	// hubScore ranks it in the fleet, readerScore in its failure domain.
-	hubScore, readerScore float64
+	// hubScore ranks it in the fleet, leaderScore in its failure domain.
+	hubScore, leaderScore float64
 }
 
 func newCandidate(id uint64, weight float64, domain string) candidate {
-	return candidate{id: id, domain: domain, hubScore: rendezvousScore(id, weight, "hub"), readerScore: rendezvousScore(id, weight, readerKey)}
+	return candidate{id: id, domain: domain, hubScore: rendezvousScore(id, weight, "hub"), leaderScore: rendezvousScore(id, weight, readerKey)}
 }
 
 // chooseHubs returns the IDs of the hubs among the candidates. Routers with the same
@@ -43,7 +43,7 @@
 	for _, c := range candidates[:min(maxHubs, len(candidates))] {
 		chosen[c.id] = true
 	}
-	slices.SortFunc(candidates, func(a, b candidate) int { return cmp.Compare(b.readerScore, a.readerScore) })
+	slices.SortFunc(candidates, func(a, b candidate) int { return cmp.Compare(b.leaderScore, a.leaderScore) })
 	inDomain := map[string]int{}
 	for _, c := range candidates {
 		if inDomain[c.domain] < maxPerDomain {
--- a/fleet/message.go
+++ b/fleet/message.go
@@ -8,7 +8,7 @@
 // packet is one datagram. Structs are encoded as arrays, to keep datagrams small.
 type packet struct {
 	_ struct{} `cbor:",toarray"`
-	// From is the sender's incarnation.
+	// From is the sender's router ID, a random number chosen at each start.
 	From      uint64
 	Heartbeat *heartbeat
 	Ask       *placeRequest
@@ -33,7 +33,8 @@
 type brokenNotice struct {
 	_        struct{} `cbor:",toarray"`
 	Upstream uint32
-	// Announced distinguishes the hub's announcement to all routers from a report to the hub.
+	// Announced distinguishes the announcement to all routers by the hub responsible for the
+	// upstream (see hubFor) from a report to that hub.
 	Announced bool
 }
 
@@ -52,8 +53,8 @@
 	// Echo is the newest Sent that the sender has received from the receiver, 0 if none.
 	// It proves that the heartbeat was sent after that time.
 	Echo int64
-	// EchoIncarnation is the low half of the incarnation that sent Echo. A later
-	// incarnation at the same address may have a different boot clock.
+	// EchoIncarnation is the low half of the ID of the router that sent Echo. A later
+	// incarnation at the same address has another ID, and may have a different boot clock.
 	EchoIncarnation uint32
 	IP              string
 	Domain          string
@@ -177,8 +178,8 @@
 	Window, Recent float32
 }
 
-// quarantineUpdate carries crashes and successes to the hub of a content, and notices to
-// all members.
+// quarantineUpdate carries crashes and successes to the hub responsible for the content (see
+// hubFor), and notices to all members.
 type quarantineUpdate struct {
 	_         struct{} `cbor:",toarray"`
 	Crashes   []crashReport
@@ -187,8 +188,8 @@
 	Trial     *trialMessage
 }
 
-// trialMessage asks the hub of a content to grant a trial or, if Answer is set, carries the
-// hub's answer.
+// trialMessage asks the hub responsible for the content (see hubFor) to grant a trial or, if
+// Answer is set, carries the hub's answer.
 type trialMessage struct {
 	_       struct{} `cbor:",toarray"`
 	Team    string
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -39,12 +39,13 @@
 	random *rand.Rand
 	events chan any
 	// done is closed when the control goroutine has ended.
-	done          chan struct{}
-	seq           atomic.Uint64
-	routers       atomic.Int64
-	readsPlatform atomic.Bool
-	datagramsSent atomic.Int64
-	pulling       atomic.Bool
+	done chan struct{}
+	seq  atomic.Uint64
+	// sharedPeakRouters is a copy of peakRouters for other goroutines.
+	sharedPeakRouters atomic.Int64
+	readsPlatform     atomic.Bool
+	datagramsSent     atomic.Int64
+	pulling           atomic.Bool
 	// controlLag is the moving average of the time that placement requests and ticks wait
 	// for the control goroutine, in nanoseconds. Other events, such as packets, aren't
 	// timed.
@@ -88,9 +89,10 @@
 	// isHub is set if this router is one of the hubs, which were chosen at hubsChosenAt.
 	isHub        bool
 	hubsChosenAt boottime.Time
-	peakRouters  int
-	// fleetSize is the largest recent number of routers.
-	fleetSize fleetSize
+	// peakRouters is the largest number of live routers seen since the start, including this
+	// one; recentPeak is the largest recent number of routers, live or not.
+	peakRouters int
+	recentPeak  recentPeak
 }
 
 const (
@@ -118,7 +120,7 @@
 	n.quarantine.table = quarantine.NewTable(cfg.Quarantine)
 	n.quarantine.pendingTrials = map[quarantine.ContentID]*pendingTrial{}
 	n.self = n.random.Uint64()
-	n.routers.Store(1)
+	n.sharedPeakRouters.Store(1)
 	n.readsPlatform.Store(true)
 	return n
 }
@@ -126,11 +128,12 @@
 // Attach sets the feed whose state and age the node sends to its peers.
 func (n *Node) Attach(f *feed.Feed) { n.feed = f }
 
-// ReadsPlatform reports whether this router reads the platform for its failure domain.
+// ReadsPlatform reports whether this router is one of the fleet's readers (see maxReaders).
 func (n *Node) ReadsPlatform() bool { return n.readsPlatform.Load() }
 
-// Routers returns the largest number of live routers seen so far, including this one.
-func (n *Node) Routers() int { return int(n.routers.Load()) }
+// Routers implements gateway.Placer. It returns the largest number of live routers seen at
+// any time since the start of this router, including itself.
+func (n *Node) Routers() int { return int(n.sharedPeakRouters.Load()) }
 
 // Datagrams returns the number of datagrams sent.
 func (n *Node) Datagrams() int64 { return n.datagramsSent.Load() }
@@ -199,8 +202,8 @@
 }
 
 func (n *Node) addrOf(ip string) (netip.AddrPort, bool) {
-	at, err := netip.ParseAddrPort(net.JoinHostPort(ip, strconv.Itoa(n.cfg.Port)))
-	return at, err == nil
+	addr, err := netip.ParseAddrPort(net.JoinHostPort(ip, strconv.Itoa(n.cfg.Port)))
+	return addr, err == nil
 }
 
 // Tick intervals of the control goroutine: fast while a request is waiting, slow
--- a/fleet/place.go
+++ b/fleet/place.go
@@ -22,7 +22,9 @@
 	startedAt  boottime.Time
 	retryAt    boottime.Time
 	timeoutAt  boottime.Time
-	acked      bool
+	// queuedByHome is set if the home has replied that it queued the request, until the
+	// request is sent to it again.
+	queuedByHome bool
 }
 
 // inFlightRequest is a request of this router that has been sent to an upstream.
@@ -172,27 +174,27 @@
 }
 
 // applyDecision passes a decision to the request that is waiting for it. If the home has
-// queued the request, it schedules the next confirmation.
+// queued the request, it schedules the next retry.
 func (n *Node) applyDecision(now boottime.Time, d dispatch.Decision) {
 	p := n.pending[d.Ticket.Seq]
 	if p == nil {
 		return
 	}
 	if d.Verdict == dispatch.Wait {
-		p.acked = true
-		p.retryAt = now.Add(max(confirmInterval, d.PredictedFirstByte+fastTick))
+		p.queuedByHome = true
+		p.retryAt = now.Add(max(queuedRetryInterval, d.PredictedFirstByte+fastTick))
 		return
 	}
 	delete(n.pending, d.Ticket.Seq)
 	d.Group = p.key.index
 	if d.Verdict == dispatch.Send {
-		at := n.incarnationOf(d.Upstream)
-		n.inFlight[d.Ticket.Seq] = &inFlightRequest{request: p.request, key: p.key, group: p.group, upstream: at, home: p.home}
+		upstream := n.incarnationOf(d.Upstream)
+		n.inFlight[d.Ticket.Seq] = &inFlightRequest{request: p.request, key: p.key, group: p.group, upstream: upstream, home: p.home}
 		if session := sessionID(p.request.Parts); session != 0 {
 			if len(n.sessionUpstreams) >= maxSessions {
 				clear(n.sessionUpstreams)
 			}
-			n.sessionUpstreams[session] = at
+			n.sessionUpstreams[session] = upstream
 		}
 	}
 	p.answer <- d
--- a/fleet/probe.go
+++ b/fleet/probe.go
@@ -12,7 +12,7 @@
 
 const (
 	// probeStateAge is the age of the published state from which on homes probe upstreams
-	// for their warm-up: an upstream may turn cold at any time, and while the platform can't
+	// for their warm-up: an upstream may need a warm-up at any time, and while the platform can't
 	// be read its entry doesn't show that.
 	probeStateAge = time.Second
 	// probeInterval is the time between two probes of an upstream, and the timeout of each.
--- a/fleet/read_lag.go
+++ b/fleet/read_lag.go
@@ -23,13 +23,13 @@
 	if n.lagProbe.sentAt != 0 && now.Sub(n.lagProbe.sentAt) < lagProbeInterval {
 		return
 	}
-	at, ok := n.addrOf(n.cfg.IP)
+	addr, ok := n.addrOf(n.cfg.IP)
 	if !ok {
 		return
 	}
 	n.lagProbe.sentAt = now
 	n.unreadSince.CompareAndSwap(0, int64(now))
-	n.send(at, &packet{Heartbeat: &heartbeat{Sent: int64(now)}})
+	n.send(addr, &packet{Heartbeat: &heartbeat{Sent: int64(now)}})
 }
 
 // handleLagProbe records that a probe of this router has been read.
--- a/fleet/readers.go
+++ b/fleet/readers.go
@@ -95,7 +95,7 @@
 		if !m.isHub {
 			continue
 		}
-		candidate := &domainLeader{peer: m, score: m.readerScore, stale: m.stateAge > n.cfg.MaxLeaderStateAge}
+		candidate := &domainLeader{peer: m, score: m.leaderScore, stale: m.stateAge > n.cfg.MaxLeaderStateAge}
 		if l := leaders[m.domain]; l == nil || candidate.preferredTo(l) {
 			leaders[m.domain] = candidate
 		}
@@ -103,7 +103,7 @@
 	// The peak is kept, so that the shares of the fleet's allowance that belong to routers that
 	// may return aren't used by the others.
 	n.peakRouters = max(n.peakRouters, live)
-	n.routers.Store(int64(n.peakRouters))
+	n.sharedPeakRouters.Store(int64(n.peakRouters))
 	return leaders
 }
 
--- a/fleet/warmup.go
+++ b/fleet/warmup.go
@@ -30,19 +30,19 @@
 	// member counts towards the quorum. A home is a hub, to which all members send a
 	// heartbeat in each interval.
 	quorumHeartbeats = 3
-	// fleetSizeWindow is how long the peak number of routers is kept. A router that is cut
+	// recentPeakWindow is how long the peak number of routers is kept. A router that is cut
 	// off must not treat the routers that it can still reach as the whole fleet.
-	fleetSizeWindow = 2 * time.Minute
+	recentPeakWindow = 2 * time.Minute
 )
 
-// fleetSize is the largest number of routers within fleetSizeWindow.
-type fleetSize struct {
+// recentPeak is the largest number of routers within recentPeakWindow.
+type recentPeak struct {
 	peak int
 	at   boottime.Time
 }
 
-func (s *fleetSize) observe(now boottime.Time, routers int) {
-	if routers >= s.peak || now.Sub(s.at) > fleetSizeWindow {
+func (s *recentPeak) observe(now boottime.Time, routers int) {
+	if routers >= s.peak || now.Sub(s.at) > recentPeakWindow {
 		s.peak, s.at = routers, now
 	}
 }
@@ -59,7 +59,7 @@
 	if reachable == 1 && n.hasOtherSeeds() {
 		return false
 	}
-	return 2*reachable > n.fleetSize.peak
+	return 2*reachable > n.recentPeak.peak
 }
 
 func (n *Node) hasOtherSeeds() bool {
--- a/gateway/deps.go
+++ b/gateway/deps.go
@@ -43,7 +43,7 @@
 	ReportLeaving(service string, upstream dispatch.Incarnation)
 	// ReportCrash reports that an upstream closed the connection after it had been handling
 	// a request for the time ran.
-	ReportCrash(id quarantine.ContentID, at dispatch.Incarnation, ran time.Duration)
+	ReportCrash(id quarantine.ContentID, upstream dispatch.Incarnation, ran time.Duration)
 	// ReportSuccess reports that a request received a complete response from an upstream.
 	ReportSuccess(id quarantine.ContentID, from dispatch.Incarnation)
 	// RequestTrial reports whether a request with a quarantined content may be sent as a
@@ -51,6 +51,7 @@
 	RequestTrial(ctx context.Context, id quarantine.ContentID) bool
 	// Quarantine returns the current statuses of contents; nil means that all are normal.
 	Quarantine() *quarantine.View
-	// Routers returns the number of routers in the fleet.
+	// Routers returns the largest number of live routers seen at any time since the start of
+	// this router, including itself.
 	Routers() int
 }
--- a/gateway/doc.go
+++ b/gateway/doc.go
@@ -4,4 +4,8 @@
 // request, or is visibly incomplete; that a non-repeatable request is sent at most
 // once; and that the outcome "not-run" is reported only for a request of which no
 // byte can have reached an upstream, or which the upstream itself reported as not run.
+//
+// daemon.FleetDaemon, the router on the users' platform, uses this package together with
+// packages fleet, dispatch and feed. daemon.Daemon, the router configured by signed
+// bundles, uses packages callers, router, sched and lease instead.
 package gateway
--- a/gateway/overload_test.go
+++ b/gateway/overload_test.go
@@ -79,7 +79,7 @@
 	g.Expect(resp.StatusCode).To(Equal(200))
 }
 
-// Guards against sending on an old view by a router that reads the messages of its peers late.
+// Guards against sending on an old state by a router that reads the messages of its peers late.
 func TestRouterThatReadsLateDoesNotSendOnAnOldView(t *testing.T) {
 	g := NewWithT(t)
 	r := newHarness(t, map[string]script{"u1": ok("answer")})
@@ -105,7 +105,7 @@
 	g.Expect(status("/added/", "k1")).To(Equal(503))
 	g.Expect(status("/safe/", "added")).To(Equal(503))
 
-	// A router that is not overloaded, or whose view is recent, denies them.
+	// A router that is not overloaded, or whose state is recent, denies them.
 	r.placer.lag.Store(0)
 	g.Expect(status("/added/", "k1")).To(Equal(404))
 	r.placer.lag.Store(int64(100 * time.Millisecond))
--- a/gateway/record.go
+++ b/gateway/record.go
@@ -7,11 +7,11 @@
 )
 
 // record holds the log fields of a request: the inputs of the decisions on it, with the age
-// of the view, and its outcome.
+// of the state, and its outcome.
 type record struct {
 	id, route, team, service string
 	configVersion            int64
-	viewAge                  time.Duration
+	stateAge                 time.Duration
 	// remaining is the time until the request's deadline at its arrival.
 	remaining time.Duration
 	upstream  string
@@ -20,13 +20,13 @@
 	// prompt and output are the token counts used for placement.
 	prompt, output int
 	attempts       int
-	// predictedWait is the time to the first byte that the placement predicted,
+	// predictedFirstByte is the time to the first byte that the placement predicted,
 	// placementTime is the duration of all placements, and firstByte is the time from the
 	// arrival of the request to the first byte of the response body.
-	predictedWait, placementTime, firstByte time.Duration
-	// waited is the time since the caller's first attempt.
-	waited    time.Duration
-	overShare bool
+	predictedFirstByte, placementTime, firstByte time.Duration
+	// sinceFirstAttempt is the time since the caller's first attempt.
+	sinceFirstAttempt time.Duration
+	overShare         bool
 	// lag is the router's processing delay, set if it was the reason for the outcome.
 	lag time.Duration
 	// content is the content hash, set if an upstream connection broke during the request or
@@ -44,15 +44,15 @@
 // MarshalZerologObject implements zerolog.LogObjectMarshaler.
 func (r *record) MarshalZerologObject(e *zerolog.Event) {
 	e.Str("request", r.id).Str("route", r.route).Str("team", r.team).Str("service", r.service).
-		Int64("config", r.configVersion).Int64("age_ms", r.viewAge.Milliseconds()).Int64("left_ms", r.remaining.Milliseconds()).
+		Int64("config", r.configVersion).Int64("age_ms", r.stateAge.Milliseconds()).Int64("left_ms", r.remaining.Milliseconds()).
 		Int("prompt", r.prompt).Int("output", r.output).Str("upstream", r.upstream).Int("attempts", r.attempts).
-		Int64("predicted_ms", r.predictedWait.Milliseconds()).Int64("placed_ms", r.placementTime.Milliseconds()).
+		Int64("predicted_ms", r.predictedFirstByte.Milliseconds()).Int64("placed_ms", r.placementTime.Milliseconds()).
 		Int64("first_ms", r.firstByte.Milliseconds()).Int("status", r.status).Str("outcome", r.outcome)
 	if r.copyFrom != "" {
 		e.Str("copy_from", r.copyFrom)
 	}
-	if r.waited > 0 {
-		e.Int64("waited_ms", r.waited.Milliseconds())
+	if r.sinceFirstAttempt > 0 {
+		e.Int64("waited_ms", r.sinceFirstAttempt.Milliseconds())
 	}
 	if r.overShare {
 		e.Bool("over_share", true)
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -64,7 +64,7 @@
 		return r, notRun("no_configuration", "this router knows no configuration yet", time.Second)
 	}
 	r.record.configVersion = r.state.ConfigVersion()
-	r.record.viewAge = s.state.Age()
+	r.record.stateAge = s.state.Age()
 	path, _, _ := strings.Cut(in.RequestURI, "?")
 	if r.route = r.state.Table.Match(in.Host, path); r.route == nil {
 		return r, s.deny(http.StatusNotFound, "no_route", "no route fits this host and path")
@@ -101,13 +101,13 @@
 // minRetryAfter is the Retry-After delay for requests that another router may serve at once.
 const minRetryAfter = 50 * time.Millisecond
 
-// deny returns a permanent refusal. If this router's view may be outdated, it returns a
+// deny returns a permanent refusal. If this router's state may be outdated, it returns a
 // retryable one instead, since a newer configuration may allow the request.
 func (s *Server) deny(status int, code, message string) *refusal {
 	if !s.state.Fresh() {
 		return notRun("stale_view", "this router's view of the configuration is too old to decide", time.Second)
 	}
-	if s.viewTooOld() {
+	if s.overloadedWithOldState() {
 		return notRun("router_busy", "this router is behind and its view too old to deny a request", defaultRetryAfter)
 	}
 	return permanentRefusal(status, code, message)
--- a/gateway/send_check.go
+++ b/gateway/send_check.go
@@ -7,7 +7,7 @@
 
 // checkBeforeSend checks, at the moment of sending, that the request's key is still valid
 // and that its upstream may still be used. The placement may have taken a while, and the
-// home that made it may have an older view than this router.
+// home that made it may have an older state than this router.
 func (s *Server) checkBeforeSend(r *request, id string) (retryable bool, refused *refusal) {
 	state := s.state.Snapshot()
 	if refused := s.checkKey(r); refused != nil {
@@ -16,7 +16,7 @@
 	if refused := s.refuseQuarantined(r); refused != nil {
 		return false, refused
 	}
-	if s.viewTooOld() {
+	if s.overloadedWithOldState() {
 		r.record.lag = s.placer.Lag()
 		return false, notRun("router_busy", "this router is behind and its view too old to send on", defaultRetryAfter)
 	}
@@ -48,13 +48,14 @@
 	return false, nil
 }
 
-// viewTooOld reports whether this router is overloaded and its view too old to act upon.
+// overloadedWithOldState reports whether this router is overloaded and its state too old to
+// act upon.
 //
 // A flooded router reads the messages of its peers seconds late. It would send requests to
 // upstreams that are draining or have been removed, and deny routes and keys that were added
-// long ago. An old view is only rejected while the router is overloaded; otherwise an outage
+// long ago. An old state is only rejected while the router is overloaded; otherwise an outage
 // of the platform would stop all requests.
-func (s *Server) viewTooOld() bool {
+func (s *Server) overloadedWithOldState() bool {
 	lag := max(s.placer.Lag(), s.placer.ReadLag())
 	return lag > s.cfg.Shed.LagThreshold && s.state.Age() > s.cfg.MaxStateAge
 }
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -44,7 +44,8 @@
 }
 
 // correctOutcome changes the outcome not-run of a refusal to unknown if an earlier attempt may
-// have run: the first upstream closed the connection, and no second one had capacity.
+// have run, for example if the first upstream closed the connection and no second one had
+// capacity.
 func correctOutcome(r *request, refused *refusal) *refusal {
 	if !r.mayHaveRun || refused.outcome != retry.NotRun {
 		return refused
@@ -79,7 +80,7 @@
 	d, err := s.placer.Place(ctx, r.service, s.placementRequest(r, ticket, avoid))
 	r.placements++
 	r.record.placementTime += time.Since(started)
-	r.record.predictedWait, r.record.waited, r.record.overShare = d.PredictedFirstByte, d.SinceFirstAttempt, d.OverShare
+	r.record.predictedFirstByte, r.record.sinceFirstAttempt, r.record.overShare = d.PredictedFirstByte, d.SinceFirstAttempt, d.OverShare
 	if err != nil {
 		return result{refused: s.placementFailed(r, err)}
 	}
--- a/limits/allowances.go
+++ b/limits/allowances.go
@@ -48,15 +48,15 @@
 	// rateTTL is how long a rate counts as current: the time until a home receives what other
 	// homes have served.
 	rateTTL = 500 * time.Millisecond
-	// laggingFraction is the fraction of its allowance that a lagging router uses. Homes allow
-	// twice the rate that a team is served at, to detect whether it may be served more.
-	laggingFraction = 0.5
+	// overloadedFraction is the fraction of its allowance that an overloaded router uses. Homes
+	// allow twice the rate that a team is served at, to detect whether it may be served more.
+	overloadedFraction = 0.5
 )
 
 // Take reports whether a request with the given number of tokens may be sent to its home for
 // admission. If not, it returns the delay after which the caller may retry, and the age of the
 // home's rate.
-func (a *Allowances) Take(now time.Duration, key ShareKey, tokens float64, lagging bool) (ok bool, retryAfter, age time.Duration) {
+func (a *Allowances) Take(now time.Duration, key ShareKey, tokens float64, overloaded bool) (ok bool, retryAfter, age time.Duration) {
 	b := a.buckets[key]
 	if b == nil {
 		return true, 0, 0
@@ -68,8 +68,8 @@
 	if b.available <= 0 {
 		return false, b.retryAfter, now - b.rateSetAt
 	}
-	if lagging {
-		tokens /= laggingFraction
+	if overloaded {
+		tokens /= overloadedFraction
 	}
 	b.available -= tokens
 	return true, 0, 0
--- a/limits/shedder.go
+++ b/limits/shedder.go
@@ -4,10 +4,9 @@
 
 // ShedConfig configures a Shedder.
 type ShedConfig struct {
-	// A router whose lag reaches LagThreshold counts as lagging (package gateway calls it
-	// overloaded). It requests no more than its share for a team with an allowance, and sheds
-	// part of the streaming requests of a heavy team without one. Above MaxStreamLag it sheds
-	// all streaming requests.
+	// A router whose lag reaches LagThreshold is overloaded. It requests no more than its share
+	// for a team with an allowance, and sheds part of the streaming requests of a heavy team
+	// without one. Above MaxStreamLag it sheds all streaming requests.
 	LagThreshold, MaxStreamLag time.Duration
 }
 
@@ -40,7 +39,7 @@
 	arrivals   arrivals
 	allowances Allowances
 	// credit accumulates the fraction of heavy teams' requests that may pass while the router
-	// is lagging. Each request that passes uses 1.
+	// is overloaded. Each request that passes uses 1.
 	credit float64
 }
 
@@ -69,23 +68,23 @@
 // Check counts a team's request and decides whether it is shed.
 func (s *Shedder) Check(now time.Duration, a Arrival) Verdict {
 	heavy := s.arrivals.add(now, a.Share.Team)
-	lagging := a.Lag >= s.cfg.LagThreshold
+	overloaded := a.Lag >= s.cfg.LagThreshold
 	limited := s.allowances.Limited(a.Share)
 	switch {
 	case a.Streaming && a.Lag > s.cfg.MaxStreamLag:
 		return Verdict{Reason: Overloaded}
-	case lagging && heavy && !limited && a.Streaming && !s.allowHeavy(a.Lag):
+	case overloaded && heavy && !limited && a.Streaming && !s.allowHeavy(a.Lag):
 		return Verdict{Reason: Overloaded}
 	}
-	if ok, retryAfter, age := s.allowances.Take(now, a.Share, a.Tokens, lagging); !ok {
+	if ok, retryAfter, age := s.allowances.Take(now, a.Share, a.Tokens, overloaded); !ok {
 		return Verdict{Reason: OverShare, RetryAfter: retryAfter, AllowanceAge: age}
 	}
 	return Verdict{}
 }
 
-// allowHeavy reports whether a lagging router requests admission for a request of a heavy team.
-// It does so for a quarter of them at LagThreshold, and for fewer as the lag grows, so that the
-// lag settles where the router keeps up with the rest. If it shed all of them, the team would be
+// allowHeavy reports whether an overloaded router requests admission for a request of a heavy
+// team. It does so for a quarter of them at LagThreshold, and for fewer as the lag grows, so that
+// the lag settles where the router keeps up with the rest. If it shed all of them, the team would be
 // served nothing for as long as anything delays the router.
 func (s *Shedder) allowHeavy(lag time.Duration) bool {
 	fraction := float64(s.cfg.LagThreshold) / float64(2*lag)
--- a/limits/shedder_test.go
+++ b/limits/shedder_test.go
@@ -145,7 +145,7 @@
 	g.Expect(s.Check(6*time.Second+100*time.Millisecond, a).Reason).To(Equal(limits.NotShed), "requests for a new rate use no tokens")
 }
 
-// Guards against a heavy team without a limit that delays other teams at a lagging router.
+// Guards against a heavy team without a limit that delays other teams at an overloaded router.
 func TestHeavyTeamIsRefusedWhileTheRouterIsBehind(t *testing.T) {
 	g := NewWithT(t)
 	s := limits.NewShedder(limits.DefaultShedConfig())
@@ -172,7 +172,7 @@
 	g.Expect(check("flood", lagThreshold)).To(Equal(limits.Overloaded), "half of the recent requests")
 }
 
-// Guards against a lagging router that sheds all requests of a heavy team.
+// Guards against an overloaded router that sheds all requests of a heavy team.
 func TestHeavyTeamIsAskedForWhileTheRouterIsBehind(t *testing.T) {
 	const perSecond, seconds = 1000, 5
 	requested := func(lag time.Duration) int {
@@ -195,7 +195,7 @@
 	g.Expect(requested(limits.DefaultShedConfig().MaxStreamLag + time.Millisecond)).To(BeZero())
 }
 
-// Guards against a lagging router that requests more or less than a team's share.
+// Guards against an overloaded router that requests more or less than a team's share.
 func TestRouterThatIsBehindAsksForTheShare(t *testing.T) {
 	g := NewWithT(t)
 	const allowed, seconds = 200, 10
