--- a/fleet/message.go
+++ b/fleet/message.go
@@ -8,7 +8,7 @@
 // packet is one datagram. Structs are encoded as arrays, to keep datagrams small.
 type packet struct {
 	_ struct{} `cbor:",toarray"`
-	// From is the sender's incarnation.
+	// From is the sender's router ID, a random number chosen at each start.
 	From      uint64
 	Heartbeat *heartbeat
 	Ask       *placeRequest
@@ -33,7 +33,8 @@
 type brokenNotice struct {
 	_        struct{} `cbor:",toarray"`
 	Upstream uint32
-	// Announced distinguishes the hub's announcement to all routers from a report to the hub.
+	// Announced distinguishes the announcement to all routers by the hub responsible for the
+	// upstream (see hubFor) from a report to that hub.
 	Announced bool
 }
 
@@ -52,8 +53,8 @@
 	// Echo is the newest Sent that the sender has received from the receiver, 0 if none.
 	// It proves that the heartbeat was sent after that time.
 	Echo int64
-	// EchoIncarnation is the low half of the incarnation that sent Echo. A later
-	// incarnation at the same address may have a different boot clock.
+	// EchoIncarnation is the low half of the ID of the router that sent Echo. A later
+	// incarnation at the same address has another ID, and may have a different boot clock.
 	EchoIncarnation uint32
 	IP              string
 	Domain          string
@@ -77,21 +78,21 @@
 
 // placeRequest asks the home of a group to place a request.
 type placeRequest struct {
-	_        struct{} `cbor:",toarray"`
-	Seq      uint64
-	ID       string
-	Service  string
-	Group    groupNumber
-	Team     string
-	Rank     int
-	Prompt   int
-	Output   int
-	Parts    []part
-	TargetMs int32
-	LeftMs   int32
-	Warm     string
-	Avoid    []string
-	Regions  []string
+	_         struct{} `cbor:",toarray"`
+	Seq       uint64
+	ID        string
+	Service   string
+	Group     groupNumber
+	Team      string
+	Priority  int
+	Prompt    int
+	Output    int
+	Parts     []part
+	TargetMs  int32
+	TimeoutMs int32
+	CacheHint string
+	Avoid     []string
+	Regions   []string
 }
 
 type part struct {
@@ -102,17 +103,17 @@
 
 // placeReply is a home's decision on a placeRequest.
 type placeReply struct {
-	_        struct{} `cbor:",toarray"`
-	Seq      uint64
-	Service  string
-	Group    groupNumber
-	Verdict  dispatch.Verdict
-	Upstream string
-	CopyFrom string
-	RetryMs  int32
-	WaitMs   int32
-	WaitedMs int32
-	Over     bool
+	_                    struct{} `cbor:",toarray"`
+	Seq                  uint64
+	Service              string
+	Group                groupNumber
+	Verdict              dispatch.Verdict
+	Upstream             string
+	CopyFrom             string
+	RetryAfterMs         int32
+	PredictedFirstByteMs int32
+	SinceFirstAttemptMs  int32
+	OverShare            bool
 	// Warming is set if the upstream is warming up.
 	Warming bool
 	// Allowance limits the requests that the receiver may send for the team, in tokens per
@@ -142,9 +143,9 @@
 	Group      int
 	Outcome    dispatch.Outcome
 	DurationMs int32
-	// Held and Upstream are set with reportInFlight; ResponseStarted if the first byte of
+	// Request and Upstream are set with reportInFlight; ResponseStarted if the first byte of
 	// the response was received.
-	Held     *placeRequest
+	Request  *placeRequest
 	Upstream string
 	// Started is when the upstream's process that has the request was started.
 	Started         int64
@@ -174,11 +175,11 @@
 type teamUsage struct {
 	_              struct{} `cbor:",toarray"`
 	Team           string
-	Window, Lately float32
+	Window, Recent float32
 }
 
-// quarantineUpdate carries crashes and successes to the hub of a content, and notices to
-// all members.
+// quarantineUpdate carries crashes and successes to the hub responsible for the content (see
+// hubFor), and notices to all members.
 type quarantineUpdate struct {
 	_         struct{} `cbor:",toarray"`
 	Crashes   []crashReport
@@ -187,8 +188,8 @@
 	Trial     *trialMessage
 }
 
-// trialMessage asks the hub of a content to grant a trial or, if Answer is set, carries the
-// hub's answer.
+// trialMessage asks the hub responsible for the content (see hubFor) to grant a trial or, if
+// Answer is set, carries the hub's answer.
 type trialMessage struct {
 	_       struct{} `cbor:",toarray"`
 	Team    string
@@ -228,8 +229,8 @@
 type shedRequest struct {
 	_           struct{} `cbor:",toarray"`
 	Fingerprint uint64
-	// AgeMs is how long ago the request arrived, LeftMs how long its caller would wait
+	// AgeMs is how long ago the request arrived, TimeoutMs how long its caller would wait
 	// from then on.
-	AgeMs  int32
-	LeftMs int32
+	AgeMs     int32
+	TimeoutMs int32
 }
