--- a/cmd/aspenswitch-soak/main.go
+++ b/cmd/aspenswitch-soak/main.go
@@ -92,7 +92,7 @@
 	if err := os.MkdirAll(cfg.Dir, 0o700); err != nil {
 		return false, err
 	}
-	r, err := soak.Play(cfg)
+	r, err := soak.Execute(cfg)
 	if err != nil {
 		return false, err
 	}
@@ -105,7 +105,7 @@
 			fmt.Printf("  and %d more\n", len(r.Violations)-i)
 			break
 		}
-		fmt.Printf("  %8.3f %s: %s\n", v.At.Seconds(), v.Promise, v.Detail)
+		fmt.Printf("  %8.3f %s: %s\n", v.At.Seconds(), v.Invariant, v.Detail)
 	}
 	raw, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
--- a/soak/touched.go
+++ b/soak/affected.go
@@ -19,7 +19,7 @@
 // touched reports whether a router was disturbed within a span, other than by
 // planned work.
 func (c *checker) touched(router int, from, to time.Duration, s side) bool {
-	for _, d := range c.h.Disturbances {
+	for _, d := range c.h.FaultIntervals {
 		if d.To >= from && d.From <= to && d.concerns(router, s) {
 			return true
 		}
@@ -27,15 +27,15 @@
 	return false
 }
 
-func (d Disturbance) concerns(router int, s side) bool {
+func (d FaultInterval) concerns(router int, s side) bool {
 	switch d.Kind {
-	case HerdKill:
+	case RouterKillAll:
 		return true
-	case StoreDown, StoreForget:
+	case StoreDown, StoreCompact:
 		return s == storeSide
-	case StoreDelay, StoreReset, StoreHush, StoreCut, StoreAway:
+	case StoreDelay, StoreReset, StoreStall, StorePartition, StoreDownForRouter:
 		return s == storeSide && d.Target == router
-	case RouterKill, RouterPause, CallersDelay, CallersReset, CallersHush, CallersCut:
+	case RouterKill, RouterPause, CallersDelay, CallersReset, CallersStall, CallersPartition:
 		return d.Target == router
 	default:
 		return false
@@ -53,7 +53,7 @@
 		if !ok {
 			continue
 		}
-		for _, d := range c.h.Disturbances {
+		for _, d := range c.h.FaultIntervals {
 			if d.onUpstream() && d.Target == place && d.To >= req.Sent-contact && d.From <= req.Ended {
 				return true
 			}
@@ -62,9 +62,9 @@
 	return false
 }
 
-func (d Disturbance) onUpstream() bool {
+func (d FaultInterval) onUpstream() bool {
 	switch d.Kind {
-	case UpstreamDelay, UpstreamReset, UpstreamHush, UpstreamCut, UpstreamLeave, UpstreamCrash, UpstreamGrey, UpstreamNotice, UpstreamRest, UpstreamColdReturn:
+	case UpstreamDelay, UpstreamReset, UpstreamStall, UpstreamPartition, UpstreamLeave, UpstreamCrash, UpstreamGrey, UpstreamNotice, UpstreamRetryAfter, UpstreamColdRestart:
 		return true
 	default:
 		return false
--- a/soak/caller.go
+++ b/soak/caller.go
@@ -93,7 +93,7 @@
 	}
 	deadline := time.Now().Add(req.Kind.timeout() + patience)
 	if c.rnd.IntN(100) < leaveShare {
-		req.Left = true
+		req.Abandoned = true
 		deadline = time.Now().Add(time.Duration(c.rnd.IntN(300)) * time.Millisecond)
 	}
 	_ = c.conn.SetDeadline(deadline) // a broken connection shows at the write
@@ -101,16 +101,16 @@
 	if err := out.Write(c.conn); err != nil {
 		// What was read of it isn't known, so no answer is owed. It must not run
 		// twice all the same.
-		req.Left, req.Sent = true, c.rec.Now()
+		req.Abandoned, req.Sent = true, c.rec.Now()
 	} else {
 		req.Sent = c.rec.Now()
 		keep = c.read(&req, out)
 	}
 	req.Ended = c.rec.Now()
-	if req.Whole {
-		req.Left = false
+	if req.Complete {
+		req.Abandoned = false
 	}
-	if !keep || !req.Whole {
+	if !keep || !req.Complete {
 		c.hangUp()
 	}
 	c.rec.Add(func(h *History) { h.Requests = append(h.Requests, req) })
@@ -119,7 +119,7 @@
 // next draws a request.
 func (c *caller) next() Request {
 	c.sent++
-	kind := RouteKind(c.rnd.IntN(int(Added) + 1))
+	kind := RequestKind(c.rnd.IntN(int(Added) + 1))
 	key, old, added := c.op.known()
 	req := Request{
 		ID: fmt.Sprintf("c%d-%d", c.number, c.sent), Kind: kind, Prefix: prefixes[kind], Key: fixedKey,
@@ -127,7 +127,7 @@
 	}
 	if kind == Added {
 		if len(added) == 0 {
-			req.Kind, req.Prefix = Lookup, prefixes[Lookup]
+			req.Kind, req.Prefix = Repeatable, prefixes[Repeatable]
 		} else {
 			req.Prefix = added[c.rnd.IntN(len(added))]
 		}
@@ -163,17 +163,17 @@
 	resp, err := http.ReadResponse(c.in, out)
 	if err != nil {
 		if !brokenOff(err) {
-			req.Wrong = "bytes that are no answer: " + err.Error()
+			req.Defect = "bytes that are no answer: " + err.Error()
 		}
 		return false
 	}
 	req.Status = resp.StatusCode
 	body, err := io.ReadAll(resp.Body)
-	req.Whole = err == nil
-	req.Notice = resp.Header.Get(platform.HTTPHeaders().Leaving) != ""
+	req.Complete = err == nil
+	req.LeavingNotice = resp.Header.Get(platform.HTTPHeaders().Leaving) != ""
 	req.Quarantined = strings.Contains(string(body), `"code":"quarantined"`)
 	if resp.StatusCode/100 == 2 {
-		req.Wrong = judge(req, resp.Header, string(body))
+		req.Defect = judge(req, resp.Header, string(body))
 	}
 	return !resp.Close
 }
@@ -195,7 +195,7 @@
 		return "the answer to " + h.Get(n.RequestID)
 	case req.Kind.streams() && !strings.HasSuffix(body, " ran "+req.ID): // a grey upstream gives a plain answer
 		return judgeStream(req, body)
-	case req.Whole && !strings.HasSuffix(body, " ran "+req.ID):
+	case req.Complete && !strings.HasSuffix(body, " ran "+req.ID):
 		return fmt.Sprintf("another body: %q", body)
 	}
 	return ""
@@ -207,7 +207,7 @@
 		want.WriteString(standin.StreamEvent(req.ID, i))
 	}
 	switch {
-	case req.Whole && body != want.String():
+	case req.Complete && body != want.String():
 		return fmt.Sprintf("a stream of %d bytes that looks complete", len(body))
 	case !strings.HasPrefix(want.String(), body):
 		return "a stream with events missing, doubled or of another"
--- a/soak/check.go
+++ b/soak/check.go
@@ -10,10 +10,10 @@
 
 // Violation is a promise that was broken.
 type Violation struct {
-	// Promise is its short name.
-	Promise string        `json:"promise"`
-	At      time.Duration `json:"at"`
-	Detail  string        `json:"detail"`
+	// Invariant is its short name.
+	Invariant string        `json:"promise"`
+	At        time.Duration `json:"at"`
+	Detail    string        `json:"detail"`
 }
 
 // Check looks for broken promises in a history. settled is when the last fault
@@ -44,7 +44,7 @@
 	c.cancelled()
 	c.recovered(settled, end)
 	for _, e := range h.Exits {
-		c.add("processes end when told", e.At, "router %d %s", e.Router, e.How)
+		c.add("processes end when told", e.At, "router %d %s", e.Router, e.Reason)
 	}
 	return c.found
 }
@@ -70,13 +70,13 @@
 }
 
 func (c *checker) add(promise string, at time.Duration, format string, args ...any) {
-	c.found = append(c.found, Violation{Promise: promise, At: at, Detail: fmt.Sprintf(format, args...)})
+	c.found = append(c.found, Violation{Invariant: promise, At: at, Detail: fmt.Sprintf(format, args...)})
 }
 
 // answer: a success is an upstream's whole answer to its own request.
 func (c *checker) answer(req Request) {
-	if req.Wrong != "" {
-		c.add("whole answer to its own request", req.Ended, "%s at router %d: %s", req.ID, req.Router, req.Wrong)
+	if req.Defect != "" {
+		c.add("whole answer to its own request", req.Ended, "%s at router %d: %s", req.ID, req.Router, req.Defect)
 	}
 }
 
@@ -99,7 +99,7 @@
 // revoked: a key that was taken away is not served beyond the bound, whatever
 // happened to the router.
 func (c *checker) revoked(req Request) {
-	for _, gone := range c.h.KeysGone {
+	for _, gone := range c.h.RevokedKeys {
 		if req.Key == gone.Name && req.Sent > gone.At+c.b.MaxRevocationDelay() && len(c.runs[req.ID]) > 0 {
 			c.add("keys end in time", req.Sent, "%s ran %v after its key %s was taken away", req.ID, req.Sent-gone.At, req.Key)
 		}
@@ -124,7 +124,7 @@
 // answered: what a router has read is answered within the route's time.
 func (c *checker) answered(req Request) {
 	took := req.Ended - req.Sent
-	if req.Left || took <= req.Kind.timeout()+late || c.touched(req.Router, req.Sent-contact, req.Ended, callerSide) {
+	if req.Abandoned || took <= req.Kind.timeout()+late || c.touched(req.Router, req.Sent-contact, req.Ended, callerSide) {
 		return
 	}
 	c.add("answered in time", req.Ended, "%s got its end after %v at router %d", req.ID, took, req.Router)
@@ -135,7 +135,7 @@
 
 // stopped: a planned stop, reload or change cuts no request that was read.
 func (c *checker) stopped(req Request) {
-	if req.Whole || req.Left || req.Wrong != "" || c.touched(req.Router, req.Sent-contact, req.Ended, callerSide) {
+	if req.Complete || req.Abandoned || req.Defect != "" || c.touched(req.Router, req.Sent-contact, req.Ended, callerSide) {
 		return
 	}
 	runs := c.runs[req.ID]
@@ -155,12 +155,12 @@
 	}
 	apply := time.Duration(c.b.ApplyMs * float64(time.Millisecond))
 	settled := req.Sent - apply
-	for _, gone := range c.h.KeysGone {
+	for _, gone := range c.h.RevokedKeys {
 		if req.Key == gone.Name || gone.At > settled {
 			return // taken away, or a new key that may not be in force yet
 		}
 	}
-	for _, added := range c.h.Additions {
+	for _, added := range c.h.RouteAdditions {
 		if req.Prefix == added.Name && added.At > settled {
 			return
 		}
--- a/soak/check_whole.go
+++ b/soak/check_history.go
@@ -45,7 +45,7 @@
 
 // goneBy reports whether a key had been taken away by a moment.
 func (c *checker) goneBy(key string, at time.Duration) bool {
-	for _, gone := range c.h.KeysGone {
+	for _, gone := range c.h.RevokedKeys {
 		if gone.Name == key && gone.At <= at {
 			return true
 		}
@@ -73,7 +73,7 @@
 func (c *checker) allowedServices(from time.Duration) map[string]bool {
 	allowed := map[string]bool{}
 	current := services[0]
-	for _, m := range c.h.Moves {
+	for _, m := range c.h.RouteMoves {
 		if m.At > from {
 			allowed[m.Name] = true
 			continue
@@ -129,7 +129,7 @@
 func (c *checker) cancelled() {
 	left, worked := 0, 0
 	for _, req := range c.h.Requests {
-		if !req.Left || !req.Kind.streams() || c.touched(req.Router, req.Ended-contact, req.Ended+cancelWithin, callerSide) {
+		if !req.Abandoned || !req.Kind.streams() || c.touched(req.Router, req.Ended-contact, req.Ended+cancelWithin, callerSide) {
 			continue
 		}
 		for _, run := range c.runs[req.ID] {
@@ -173,7 +173,7 @@
 
 // proper reports whether a request can be served: its key is good and its caller
 // stayed.
-func (c *checker) proper(req Request) bool { return !req.Left && !c.gone(req.Key) }
+func (c *checker) proper(req Request) bool { return !req.Abandoned && !c.gone(req.Key) }
 
 // gone reports whether a key was taken away during the run.
 func (c *checker) gone(key string) bool { return c.goneBy(key, math.MaxInt64) }
--- a/soak/check_test.go
+++ b/soak/check_test.go
@@ -14,7 +14,7 @@
 func promises(h *History) []string {
 	var names []string
 	for _, v := range Check(h, DefaultConfig().Bounds, 20*second, 30*second) {
-		names = append(names, v.Promise)
+		names = append(names, v.Invariant)
 	}
 	return names
 }
@@ -22,13 +22,13 @@
 // calm is a history in which all is well: a request once faults have ended.
 func calm() *History {
 	return &History{Requests: []Request{{
-		ID: "ok", Kind: Lookup, Key: fixedKey, Sent: 28 * second, Ended: 28*second + 20*time.Millisecond, Status: http.StatusOK, Whole: true,
+		ID: "ok", Kind: Repeatable, Key: fixedKey, Sent: 28 * second, Ended: 28*second + 20*time.Millisecond, Status: http.StatusOK, Complete: true,
 	}}}
 }
 
 // booking is one that was answered as usual; change alters it.
 func booking(change func(*Request)) Request {
-	r := Request{ID: "b", Kind: Booking, Prefix: "/book/", Key: fixedKey, Sent: 10 * second, Ended: 10*second + 50*time.Millisecond, Status: http.StatusOK, Whole: true}
+	r := Request{ID: "b", Kind: AtMostOnce, Prefix: "/book/", Key: fixedKey, Sent: 10 * second, Ended: 10*second + 50*time.Millisecond, Status: http.StatusOK, Complete: true}
 	change(&r)
 	return r
 }
@@ -43,7 +43,7 @@
 	at := 10 * second
 	for promise, breakIt := range map[string]func(*History){
 		"whole answer to its own request": func(h *History) {
-			h.Requests = append(h.Requests, booking(func(r *Request) { r.Wrong = "the answer to c" }))
+			h.Requests = append(h.Requests, booking(func(r *Request) { r.Defect = "the answer to c" }))
 		},
 		"refused is not run": func(h *History) {
 			h.Requests = append(h.Requests, booking(func(r *Request) { r.Status = http.StatusServiceUnavailable }))
@@ -56,9 +56,9 @@
 		"keys end in time": func(h *History) {
 			h.Requests = append(h.Requests, booking(func(r *Request) { r.Key = "key-0" }))
 			h.Runs = append(h.Runs, run("u0-1", services[0], at))
-			h.KeysGone = []Change{{Name: "key-0", At: 4 * second}}
+			h.RevokedKeys = []Change{{Name: "key-0", At: 4 * second}}
 			// Nothing excuses a key that is served too long.
-			h.Disturbances = []Disturbance{{Kind: RouterPause, From: 5 * second, To: 11 * second}}
+			h.FaultIntervals = []FaultInterval{{Kind: RouterPause, From: 5 * second, To: 11 * second}}
 		},
 		"leaving upstreams get no work": func(h *History) {
 			h.Requests = append(h.Requests, booking(func(*Request) {}))
@@ -69,7 +69,7 @@
 			h.Requests = append(h.Requests, booking(func(r *Request) { r.Ended = r.Sent + requestTimeout + second }))
 		},
 		"nothing is cut": func(h *History) {
-			h.Requests = append(h.Requests, booking(func(r *Request) { r.Whole, r.Status, r.Ended = false, 0, r.Sent+second }))
+			h.Requests = append(h.Requests, booking(func(r *Request) { r.Complete, r.Status, r.Ended = false, 0, r.Sent+second }))
 		},
 		"what is allowed is not denied": func(h *History) {
 			h.Requests = append(h.Requests, booking(func(r *Request) { r.Status = http.StatusNotFound }))
@@ -77,7 +77,7 @@
 		"changes are in force in time": func(h *History) {
 			h.Requests = append(h.Requests, booking(func(r *Request) { r.Kind = Moving }))
 			h.Runs = append(h.Runs, run("u0-1", services[0], at))
-			h.Moves = []Change{{Name: services[1], At: 7 * second}}
+			h.RouteMoves = []Change{{Name: services[1], At: 7 * second}}
 		},
 		"configuration never goes back": func(h *History) {
 			h.Requests = append(h.Requests, booking(func(r *Request) { r.Key = "key-1" }),
@@ -86,18 +86,18 @@
 				}))
 			h.Runs = append(h.Runs, run("u0-1", services[0], at))
 			// Another key went meanwhile, and the router was paused.
-			h.KeysGone = []Change{{Name: "key-0", At: 10 * second}}
-			h.Disturbances = []Disturbance{{Kind: RouterPause, From: 10 * second, To: 11 * second}}
+			h.RevokedKeys = []Change{{Name: "key-0", At: 10 * second}}
+			h.FaultIntervals = []FaultInterval{{Kind: RouterPause, From: 10 * second, To: 11 * second}}
 		},
 		"retries stay within the budget": func(h *History) {
-			h.Requests = append(h.Requests, booking(func(r *Request) { r.Kind = Lookup }))
+			h.Requests = append(h.Requests, booking(func(r *Request) { r.Kind = Repeatable }))
 			for range 60 {
 				h.Runs = append(h.Runs, run("u0-1", services[0], at))
 			}
 		},
 		"work ends when callers leave": func(h *History) {
 			for i := range fewLeft {
-				r := booking(func(r *Request) { r.Kind, r.Left, r.Whole = Stream, true, false })
+				r := booking(func(r *Request) { r.Kind, r.Abandoned, r.Complete = ResumableStream, true, false })
 				r.ID += string(rune('0' + i))
 				h.Requests = append(h.Requests, r)
 				h.Runs = append(h.Runs, Run{Request: r.ID, Upstream: "u0-1", Service: services[1], Began: at, Ended: at + 2*second})
@@ -117,17 +117,19 @@
 			h.Requests = append(h.Requests, booking(func(r *Request) { r.Status, r.Quarantined = http.StatusBadGateway, true }))
 		},
 		"leaving notices are heeded": func(h *History) {
-			h.Requests = append(h.Requests, booking(func(r *Request) { r.ID, r.Sent, r.Ended, r.Notice = "a", 7*second, 7*second, true }),
+			h.Requests = append(h.Requests, booking(func(r *Request) { r.ID, r.Sent, r.Ended, r.LeavingNotice = "a", 7*second, 7*second, true }),
 				booking(func(*Request) {}))
 			h.Runs = append(h.Runs, run("u0-1", services[0], at), Run{Request: "a", Upstream: "u0-1", Service: services[0], Began: 7 * second, Ended: 7 * second})
 			// An unavailable platform is no excuse.
-			h.Disturbances = []Disturbance{{Kind: StoreDown, From: 5 * second, To: 11 * second}}
+			h.FaultIntervals = []FaultInterval{{Kind: StoreDown, From: 5 * second, To: 11 * second}}
 		},
 		"rest is kept": func(h *History) {
 			for i := range maxSendsDuringDelay + 2 {
-				rejected := booking(func(r *Request) { r.ID, r.Kind, r.Status = string(rune('p'+i)), Lookup, http.StatusServiceUnavailable })
+				rejected := booking(func(r *Request) {
+					r.ID, r.Kind, r.Status = string(rune('p'+i)), Repeatable, http.StatusServiceUnavailable
+				})
 				h.Requests = append(h.Requests, rejected)
-				h.Rejections = append(h.Rejections, Rejection{Request: rejected.ID, Upstream: "u0-1", At: at + time.Duration(i)*600*time.Millisecond, Rest: 3 * second})
+				h.Rejections = append(h.Rejections, Rejection{Request: rejected.ID, Upstream: "u0-1", At: at + time.Duration(i)*600*time.Millisecond, RetryAfter: 3 * second})
 			}
 		},
 		"warming upstreams get little": func(h *History) {
@@ -136,7 +138,7 @@
 			}
 			h.WarmUps = []Span{{Name: "u0-1", From: at - second, To: at + second}}
 			// Nothing excuses it: the bound is over all routers, whatever happened to them.
-			h.Disturbances = []Disturbance{{Kind: HerdKill, From: 5 * second, To: 11 * second}}
+			h.FaultIntervals = []FaultInterval{{Kind: RouterKillAll, From: 5 * second, To: 11 * second}}
 		},
 		"evacuated domains get nothing": func(h *History) {
 			h.Requests = append(h.Requests, booking(func(*Request) {}))
@@ -145,7 +147,7 @@
 		},
 		"serves as before": func(h *History) { h.Requests[0].Status = http.StatusServiceUnavailable },
 		"processes end when told": func(h *History) {
-			h.Exits = []Exit{{Router: 1, At: at, How: "ended by itself"}}
+			h.Exits = []Exit{{Router: 1, At: at, Reason: "ended by itself"}}
 		},
 	} {
 		t.Run(promise, func(t *testing.T) {
@@ -164,12 +166,12 @@
 func TestDisturbancesExcuseWhatTheyCause(t *testing.T) {
 	g := NewWithT(t)
 	h := calm()
-	h.Requests = append(h.Requests, booking(func(r *Request) { r.Whole, r.Status, r.Ended = false, 0, r.Sent+3*second }))
+	h.Requests = append(h.Requests, booking(func(r *Request) { r.Complete, r.Status, r.Ended = false, 0, r.Sent+3*second }))
 	g.Expect(promises(h)).To(ContainElements("answered in time", "nothing is cut"))
-	h.Disturbances = []Disturbance{{Kind: RouterPause, Target: 0, From: 9 * second, To: 11 * second}}
+	h.FaultIntervals = []FaultInterval{{Kind: RouterPause, Target: 0, From: 9 * second, To: 11 * second}}
 	g.Expect(promises(h)).To(BeEmpty())
-	h.Disturbances[0].Target = 1
+	h.FaultIntervals[0].Target = 1
 	g.Expect(promises(h)).NotTo(BeEmpty(), "another router's pause excuses nothing")
-	h.Disturbances[0] = Disturbance{Kind: RouterStop, Target: 0, From: 9 * second, To: 11 * second}
+	h.FaultIntervals[0] = FaultInterval{Kind: RouterStop, Target: 0, From: 9 * second, To: 11 * second}
 	g.Expect(promises(h)).NotTo(BeEmpty(), "a planned stop excuses nothing")
 }
--- a/soak/check_upstreams.go
+++ b/soak/check_upstreams.go
@@ -75,7 +75,7 @@
 	noticeTimes := map[source]time.Duration{}
 	for _, req := range c.h.Requests {
 		runs := c.runs[req.ID]
-		if !req.Notice || len(runs) == 0 {
+		if !req.LeavingNotice || len(runs) == 0 {
 			continue
 		}
 		s := source{routerProcess{req.Router, req.Incarnation}, runs[len(runs)-1].Upstream}
@@ -107,26 +107,26 @@
 func (c *checker) retryAfter() {
 	for _, r := range c.h.Rejections {
 		rejected, known := c.byID[r.Request]
-		if !known || c.touched(rejected.Router, r.At-contact, r.At+r.Rest, storeSide) {
+		if !known || c.touched(rejected.Router, r.At-contact, r.At+r.RetryAfter, storeSide) {
 			continue
 		}
 		sends := 0
 		for _, later := range c.h.Rejections {
 			other, known := c.byID[later.Request]
-			if known && other.Router == rejected.Router && later.Upstream == r.Upstream && later.At > r.At+retryAfterGrace && later.At < r.At+r.Rest {
+			if known && other.Router == rejected.Router && later.Upstream == r.Upstream && later.At > r.At+retryAfterGrace && later.At < r.At+r.RetryAfter {
 				sends++
 			}
 		}
 		if sends > maxSendsDuringDelay {
-			c.add("rest is kept", r.At, "%s sent router %d a Retry-After of %v and got %d more requests before it ended", r.Upstream, rejected.Router, r.Rest, sends)
+			c.add("rest is kept", r.At, "%s sent router %d a Retry-After of %v and got %d more requests before it ended", r.Upstream, rejected.Router, r.RetryAfter, sends)
 		}
 	}
 }
 
 // interrupted reports whether a router's process was killed, paused or stopped within a span.
 func (c *checker) interrupted(router int, from, to time.Duration) bool {
-	for _, d := range c.h.Disturbances {
-		ofRouter := d.Kind == HerdKill || d.Target == router && (d.Kind == RouterKill || d.Kind == RouterPause || d.Kind == RouterStop)
+	for _, d := range c.h.FaultIntervals {
+		ofRouter := d.Kind == RouterKillAll || d.Target == router && (d.Kind == RouterKill || d.Kind == RouterPause || d.Kind == RouterStop)
 		if ofRouter && d.To >= from && d.From <= to {
 			return true
 		}
--- a/soak/config_test.go
+++ b/soak/config_test.go
@@ -18,7 +18,7 @@
 		c := DefaultConfig()
 		spoil(&c)
 		g.Expect(c.check()).To(MatchError(ContainSubstring(message)))
-		_, err := Play(c)
+		_, err := Execute(c)
 		g.Expect(err).To(HaveOccurred())
 	}
 }
--- a/soak/crashing.go
+++ b/soak/crashing.go
@@ -23,7 +23,7 @@
 	content := fmt.Sprintf("%d-%d", f.At.Milliseconds(), f.Variant)
 	c := &caller{number: f.Variant, rnd: rand.New(rand.NewPCG(uint64(f.Variant), uint64(f.At))), lb: d.lb, op: d.op, rec: d.rec}
 	defer c.hangUp()
-	for n, until := 0, d.rec.Now()+f.For; d.rec.Now() < until; n++ {
+	for n, until := 0, d.rec.Now()+f.ActiveFor; d.rec.Now() < until; n++ {
 		time.Sleep(time.Duration(c.rnd.ExpFloat64() * float64(meanCrashInterval)))
 		c.hangUp()
 		if c.connect() {
--- a/soak/deployment.go
+++ b/soak/deployment.go
@@ -35,16 +35,16 @@
 	lb      *balancer
 }
 
-// Play plays the plan of a seed and checks what came of it.
-func Play(cfg Config) (*Result, error) {
+// Execute plays the plan of a seed and checks what came of it.
+func Execute(cfg Config) (*Result, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
 	}
-	return PlayPlan(cfg, Plan(cfg))
+	return ExecutePlan(cfg, Plan(cfg))
 }
 
-// PlayPlan plays a plan and checks what came of it.
-func PlayPlan(cfg Config, plan []Fault) (*Result, error) {
+// ExecutePlan plays a plan and checks what came of it.
+func ExecutePlan(cfg Config, plan []Fault) (*Result, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
 	}
@@ -76,7 +76,7 @@
 		return nil, err
 	}
 	h := d.rec.History()
-	r := &Result{Plan: plan, History: h, Violations: Check(h, cfg.Bounds, settled, stopped), Asked: len(h.Requests), Recovery: Recovery(h, settled, stopped)}
+	r := &Result{Plan: plan, History: h, Violations: Check(h, cfg.Bounds, settled, stopped), Asked: len(h.Requests), Recovery: RecoveryTime(h, settled, stopped)}
 	for _, req := range h.Requests {
 		if req.served() {
 			r.Served++
--- a/soak/play.go
+++ b/soak/execute.go
@@ -36,12 +36,12 @@
 	at := 0
 	// It is noted at its beginning, so that nothing that it causes comes before it.
 	d.rec.Add(func(h *History) {
-		at = len(h.Disturbances)
-		h.Disturbances = append(h.Disturbances, Disturbance{Kind: f.Kind, Target: f.Target, From: from, To: from + time.Hour})
+		at = len(h.FaultIntervals)
+		h.FaultIntervals = append(h.FaultIntervals, FaultInterval{Kind: f.Kind, Target: f.Target, From: from, To: from + time.Hour})
 	})
 	err := d.apply(f)
 	to := d.rec.Now()
-	d.rec.Add(func(h *History) { h.Disturbances[at].To = to })
+	d.rec.Add(func(h *History) { h.FaultIntervals[at].To = to })
 	return err
 }
 
@@ -50,36 +50,36 @@
 	switch f.Kind {
 	case RouterKill, RouterPause, RouterStop, RouterReload:
 		d.hitRouter(d.routers[f.Target], f)
-	case HerdKill:
+	case RouterKillAll:
 		for _, r := range d.routers {
-			r.kill(f.For)
+			r.kill(f.ActiveFor)
 		}
-		time.Sleep(f.For)
-	case CallersDelay, CallersReset, CallersHush, CallersCut:
+		time.Sleep(f.ActiveFor)
+	case CallersDelay, CallersReset, CallersStall, CallersPartition:
 		hitLink(d.routers[f.Target].callers, f)
-	case StoreDelay, StoreReset, StoreHush, StoreCut:
+	case StoreDelay, StoreReset, StoreStall, StorePartition:
 		hitLink(d.routers[f.Target].store, f)
-	case UpstreamDelay, UpstreamReset, UpstreamHush, UpstreamCut:
+	case UpstreamDelay, UpstreamReset, UpstreamStall, UpstreamPartition:
 		hitLink(d.places[f.Target].link, f)
-	case StoreAway, StoreDown, StoreForget:
+	case StoreDownForRouter, StoreDown, StoreCompact:
 		d.hitStore(f)
 	case UpstreamLeave:
-		return d.places[f.Target].leave(f.For)
+		return d.places[f.Target].leave(f.ActiveFor)
 	case UpstreamCrash:
-		return d.places[f.Target].crash(f.For)
+		return d.places[f.Target].crash(f.ActiveFor)
 	case UpstreamGrey:
-		d.places[f.Target].grey(f.Variant, f.For)
+		d.places[f.Target].grey(f.Variant, f.ActiveFor)
 	case CrashingRequest:
 		d.sendCrashingRequests(f)
 	case UpstreamNotice:
-		return d.places[f.Target].leaveUnpublished(f.For)
-	case UpstreamRest:
+		return d.places[f.Target].leaveUnpublished(f.ActiveFor)
+	case UpstreamRetryAfter:
 		d.rejectWithRetryAfter(f)
 	case UpstreamCold:
 		defer awaitWarm()
 		return d.turnCold(d.places[f.Target], learnTime)
-	case UpstreamColdReturn:
-		return d.coldReturn(d.places[f.Target], f.For)
+	case UpstreamColdRestart:
+		return d.coldReturn(d.places[f.Target], f.ActiveFor)
 	case DomainEvacuate:
 		return d.evacuate(f)
 	case KeyChange:
@@ -95,12 +95,12 @@
 func (d *deployment) hitRouter(r *router, f Fault) {
 	switch f.Kind {
 	case RouterKill:
-		r.kill(f.For)
-		time.Sleep(f.For)
+		r.kill(f.ActiveFor)
+		time.Sleep(f.ActiveFor)
 	case RouterPause:
-		r.pause(f.For)
+		r.pause(f.ActiveFor)
 	case RouterStop:
-		r.stop(f.For)
+		r.stop(f.ActiveFor)
 	default:
 		r.reload()
 	}
@@ -114,19 +114,19 @@
 	switch f.Kind {
 	case CallersDelay, StoreDelay, UpstreamDelay:
 		k.Delay(linkDelay)
-		time.Sleep(f.For)
+		time.Sleep(f.ActiveFor)
 		k.Delay(0)
 	case CallersReset, StoreReset, UpstreamReset:
 		k.Reset()
-	case CallersHush, StoreHush, UpstreamHush:
-		k.Hush()
+	case CallersStall, StoreStall, UpstreamStall:
+		k.Stall()
 	default:
 		forth, back := f.Variant%3 != 1, f.Variant%3 != 2
-		k.Cut(Forth, forth)
-		k.Cut(Back, back)
-		time.Sleep(f.For)
-		k.Cut(Forth, false)
-		k.Cut(Back, false)
+		k.Block(ClientToServer, forth)
+		k.Block(ServerToClient, back)
+		time.Sleep(f.ActiveFor)
+		k.Block(ClientToServer, false)
+		k.Block(ServerToClient, false)
 	}
 }
 
@@ -136,13 +136,13 @@
 func (d *deployment) hitStore(f Fault) {
 	fault := storeFaults[f.Variant%len(storeFaults)]
 	switch f.Kind {
-	case StoreAway:
+	case StoreDownForRouter:
 		d.store.SetFaultFor(storeName(f.Target), fault)
-		time.Sleep(f.For)
+		time.Sleep(f.ActiveFor)
 		d.store.SetFaultFor(storeName(f.Target), standin.StoreWell)
 	case StoreDown:
 		d.store.SetFault(fault)
-		time.Sleep(f.For)
+		time.Sleep(f.ActiveFor)
 		d.store.SetFault(standin.StoreWell)
 	default:
 		d.store.Forget()
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -15,31 +15,31 @@
 	RouterStop FaultKind = "router-stop"
 	// RouterReload says that the settings have changed.
 	RouterReload FaultKind = "router-reload"
-	// HerdKill ends all routers' processes at one moment.
-	HerdKill FaultKind = "herd-kill"
+	// RouterKillAll ends all routers' processes at one moment.
+	RouterKillAll FaultKind = "herd-kill"
 	// CallersDelay, CallersReset, CallersHush and CallersCut harm the link from the
 	// callers to a router.
-	CallersDelay FaultKind = "callers-delay"
-	CallersReset FaultKind = "callers-reset"
-	CallersHush  FaultKind = "callers-hush"
-	CallersCut   FaultKind = "callers-cut"
+	CallersDelay     FaultKind = "callers-delay"
+	CallersReset     FaultKind = "callers-reset"
+	CallersStall     FaultKind = "callers-hush"
+	CallersPartition FaultKind = "callers-cut"
 	// StoreDelay, StoreReset, StoreHush and StoreCut harm a router's link to the store.
-	StoreDelay FaultKind = "store-delay"
-	StoreReset FaultKind = "store-reset"
-	StoreHush  FaultKind = "store-hush"
-	StoreCut   FaultKind = "store-cut"
-	// StoreAway makes the store turn one router away.
-	StoreAway FaultKind = "store-away"
+	StoreDelay     FaultKind = "store-delay"
+	StoreReset     FaultKind = "store-reset"
+	StoreStall     FaultKind = "store-hush"
+	StorePartition FaultKind = "store-cut"
+	// StoreDownForRouter makes the store turn one router away.
+	StoreDownForRouter FaultKind = "store-away"
 	// StoreDown makes the store answer nobody; StoreForget drops its history and
 	// cuts all watches.
-	StoreDown   FaultKind = "store-down"
-	StoreForget FaultKind = "store-forget"
+	StoreDown    FaultKind = "store-down"
+	StoreCompact FaultKind = "store-forget"
 	// UpstreamDelay, UpstreamReset, UpstreamHush and UpstreamCut harm the routers'
 	// link to an upstream.
-	UpstreamDelay FaultKind = "upstream-delay"
-	UpstreamReset FaultKind = "upstream-reset"
-	UpstreamHush  FaultKind = "upstream-hush"
-	UpstreamCut   FaultKind = "upstream-cut"
+	UpstreamDelay     FaultKind = "upstream-delay"
+	UpstreamReset     FaultKind = "upstream-reset"
+	UpstreamStall     FaultKind = "upstream-hush"
+	UpstreamPartition FaultKind = "upstream-cut"
 	// UpstreamLeave is a planned leave; UpstreamCrash has none. Another
 	// incarnation, of either service, comes up at the same address.
 	UpstreamLeave FaultKind = "upstream-leave"
@@ -52,13 +52,13 @@
 	CrashingRequest FaultKind = "crashing-request"
 	// UpstreamNotice is a leave that is announced only by the leaving notice in answers.
 	UpstreamNotice FaultKind = "upstream-notice"
-	// UpstreamRest makes an upstream, or all upstreams of a service, answer 503 with
+	// UpstreamRetryAfter makes an upstream, or all upstreams of a service, answer 503 with
 	// Retry-After.
-	UpstreamRest FaultKind = "upstream-rest"
+	UpstreamRetryAfter FaultKind = "upstream-rest"
 	// UpstreamCold makes an upstream warm up anew under the same start; UpstreamColdReturn
 	// crashes it, and the next incarnation warms up.
-	UpstreamCold       FaultKind = "upstream-cold"
-	UpstreamColdReturn FaultKind = "upstream-cold-return"
+	UpstreamCold        FaultKind = "upstream-cold"
+	UpstreamColdRestart FaultKind = "upstream-cold-return"
 	// DomainEvacuate evacuates a failure domain of upstreams, which may be cold afterwards.
 	DomainEvacuate FaultKind = "domain-evacuate"
 	// KeyChange takes a team's key away and gives it another; RouteMove sends a
@@ -74,8 +74,8 @@
 	Kind FaultKind     `json:"kind"`
 	// Target is the index of the router or upstream.
 	Target int `json:"target"`
-	// For is how long it lasts, where it does.
-	For time.Duration `json:"for"`
+	// ActiveFor is how long it lasts, where it does.
+	ActiveFor time.Duration `json:"for"`
 	// Variant picks among the forms of a kind.
 	Variant int `json:"variant"`
 }
--- a/soak/history.go
+++ b/soak/history.go
@@ -10,16 +10,16 @@
 // History is what callers and upstreams saw and what was done to the fleet. All
 // times are counted from the start of the run.
 type History struct {
-	Requests     []Request     `json:"requests"`
-	Runs         []Run         `json:"runs"`
-	Disturbances []Disturbance `json:"disturbances"`
-	KeysGone     []Change      `json:"keysGone"`
-	Departures   []Change      `json:"departures"`
-	Moves        []Change      `json:"moves"`
-	Additions    []Change      `json:"additions"`
-	Exits        []Exit        `json:"exits"`
-	Crashes      []Crash       `json:"crashes"`
-	Rejections   []Rejection   `json:"rejections"`
+	Requests       []Request       `json:"requests"`
+	Runs           []Run           `json:"runs"`
+	FaultIntervals []FaultInterval `json:"disturbances"`
+	RevokedKeys    []Change        `json:"keysGone"`
+	Departures     []Change        `json:"departures"`
+	RouteMoves     []Change        `json:"moves"`
+	RouteAdditions []Change        `json:"additions"`
+	Exits          []Exit          `json:"exits"`
+	Crashes        []Crash         `json:"crashes"`
+	Rejections     []Rejection     `json:"rejections"`
 	// WarmUps are by upstream, Evacuations by failure domain.
 	WarmUps     []Span `json:"warmUps"`
 	Evacuations []Span `json:"evacuations"`
@@ -27,12 +27,12 @@
 
 // Request is one request of a caller.
 type Request struct {
-	ID          string    `json:"id"`
-	Kind        RouteKind `json:"kind"`
-	Prefix      string    `json:"prefix"`
-	Key         string    `json:"key"`
-	Router      int       `json:"router"`
-	Incarnation int       `json:"incarnation"`
+	ID          string      `json:"id"`
+	Kind        RequestKind `json:"kind"`
+	Prefix      string      `json:"prefix"`
+	Key         string      `json:"key"`
+	Router      int         `json:"router"`
+	Incarnation int         `json:"incarnation"`
 	// Content is the part of the path that identifies the content of a crashing request.
 	Content string `json:"content,omitempty"`
 	// Sent is when the last byte was written, Ended when the answer or the
@@ -41,20 +41,20 @@
 	Ended time.Duration `json:"ended"`
 	// Status is 0 if no answer began.
 	Status int `json:"status"`
-	// Whole is set if the answer came to its end.
-	Whole bool `json:"whole"`
-	// Left is set if the caller closed the connection before the answer's end.
-	Left bool `json:"left"`
-	// Notice is set if the answer carried a leaving notice.
-	Notice bool `json:"notice,omitempty"`
+	// Complete is set if the answer came to its end.
+	Complete bool `json:"whole"`
+	// Abandoned is set if the caller closed the connection before the answer's end.
+	Abandoned bool `json:"left"`
+	// LeavingNotice is set if the answer carried a leaving notice.
+	LeavingNotice bool `json:"notice,omitempty"`
 	// Quarantined is set if the router rejected the request for its content.
 	Quarantined bool `json:"quarantined,omitempty"`
-	// Wrong says what is wrong with an answer.
-	Wrong string `json:"wrong,omitempty"`
+	// Defect says what is wrong with an answer.
+	Defect string `json:"wrong,omitempty"`
 }
 
 // served reports whether a request got its whole answer.
-func (r Request) served() bool { return r.Whole && r.Status == http.StatusOK }
+func (r Request) served() bool { return r.Complete && r.Status == http.StatusOK }
 
 // uri returns the path of the request.
 func (r Request) uri() string {
@@ -84,15 +84,15 @@
 
 // Rejection is a request that an upstream rejected with a Retry-After of Rest.
 type Rejection struct {
-	Request  string        `json:"request"`
-	Upstream string        `json:"upstream"`
-	At       time.Duration `json:"at"`
-	Rest     time.Duration `json:"rest"`
+	Request    string        `json:"request"`
+	Upstream   string        `json:"upstream"`
+	At         time.Duration `json:"at"`
+	RetryAfter time.Duration `json:"rest"`
 }
 
-// Disturbance is a fault while it was in force, and a while after, as long as its
+// FaultInterval is a fault while it was in force, and a while after, as long as its
 // traces last.
-type Disturbance struct {
+type FaultInterval struct {
 	Kind   FaultKind     `json:"kind"`
 	Target int           `json:"target"`
 	From   time.Duration `json:"from"`
@@ -111,7 +111,7 @@
 type Exit struct {
 	Router int           `json:"router"`
 	At     time.Duration `json:"at"`
-	How    string        `json:"how"`
+	Reason string        `json:"how"`
 }
 
 // Recorder collects a History from many goroutines.
--- a/soak/link.go
+++ b/soak/link.go
@@ -13,8 +13,8 @@
 
 // Directions, as seen from who opens the connection.
 const (
-	Forth Direction = iota
-	Back
+	ClientToServer Direction = iota
+	ServerToClient
 )
 
 // Link is a loopback proxy before one address. Bytes that a cut holds up arrive
@@ -60,8 +60,8 @@
 	k.Reset()
 }
 
-// Cut holds up what goes one way, or lets it pass again.
-func (k *Link) Cut(d Direction, on bool) {
+// Block holds up what goes one way, or lets it pass again.
+func (k *Link) Block(d Direction, on bool) {
 	k.set(func() { k.cut[d] = on })
 }
 
@@ -70,8 +70,8 @@
 	k.set(func() { k.delay = d })
 }
 
-// Hush makes the open connections silent for good.
-func (k *Link) Hush() {
+// Stall makes the open connections silent for good.
+func (k *Link) Stall() {
 	k.set(func() {
 		for c := range k.open {
 			c.hushed = true
@@ -132,8 +132,8 @@
 	k.open[c] = struct{}{}
 	k.mu.Unlock()
 	var pumps sync.WaitGroup
-	pumps.Go(func() { c.pump(far, near, Forth) })
-	pumps.Go(func() { c.pump(near, far, Back) })
+	pumps.Go(func() { c.pump(far, near, ClientToServer) })
+	pumps.Go(func() { c.pump(near, far, ServerToClient) })
 	pumps.Wait()
 	c.reset()
 	k.mu.Lock()
--- a/soak/link_test.go
+++ b/soak/link_test.go
@@ -57,14 +57,14 @@
 	c := dialLine(g, k)
 	g.Expect(c.say(10 * time.Second)).To(Equal("hello\n"))
 
-	k.Cut(Back, true)
+	k.Block(ServerToClient, true)
 	_, err = c.say(50 * time.Millisecond)
 	g.Expect(err).To(MatchError(ContainSubstring("timeout")))
-	k.Cut(Back, false)
+	k.Block(ServerToClient, false)
 	_ = c.SetDeadline(time.Now().Add(10 * time.Second))
 	g.Expect(c.in.ReadString('\n')).To(Equal("hello\n"), "what a cut held up arrives")
 
-	k.Hush()
+	k.Stall()
 	_, err = c.say(50 * time.Millisecond)
 	g.Expect(err).To(MatchError(ContainSubstring("timeout")))
 	fresh := dialLine(g, k)
--- a/soak/notices.go
+++ b/soak/notices.go
@@ -35,12 +35,12 @@
 		runner.SetRest(retryAfter)
 		defer runner.SetRest(0)
 	}
-	time.Sleep(f.For)
+	time.Sleep(f.ActiveFor)
 }
 
 // recordRejection records that the upstream id rejected a request with a Retry-After of rest.
 func (p *place) recordRejection(id, request string, rest time.Duration) {
 	p.rec.Add(func(h *History) {
-		h.Rejections = append(h.Rejections, Rejection{Request: request, Upstream: id, At: p.rec.Now(), Rest: rest})
+		h.Rejections = append(h.Rejections, Rejection{Request: request, Upstream: id, At: p.rec.Now(), RetryAfter: rest})
 	})
 }
--- a/soak/operator.go
+++ b/soak/operator.go
@@ -37,10 +37,10 @@
 	o := &operator{store: store, rec: rec, key: "key-0", evacuated: map[string]bool{}}
 	o.cfg = routing.Config{
 		Routes: []routing.Route{
-			route(Lookup, prefixes[Lookup], services[0]),
-			route(Booking, prefixes[Booking], services[0]),
-			route(Stream, prefixes[Stream], services[1]),
-			route(Feed, prefixes[Feed], services[1]),
+			route(Repeatable, prefixes[Repeatable], services[0]),
+			route(AtMostOnce, prefixes[AtMostOnce], services[0]),
+			route(ResumableStream, prefixes[ResumableStream], services[1]),
+			route(AtMostOnceStream, prefixes[AtMostOnceStream], services[1]),
 			route(Moving, prefixes[Moving], services[0]),
 		},
 		Services: []routing.Service{
@@ -75,11 +75,11 @@
 	// A router may deny the old key before this knows that it was published.
 	gone := 0
 	o.rec.Add(func(h *History) {
-		gone = len(h.KeysGone)
-		h.KeysGone = append(h.KeysGone, Change{Name: o.old, At: o.rec.Now()})
+		gone = len(h.RevokedKeys)
+		h.RevokedKeys = append(h.RevokedKeys, Change{Name: o.old, At: o.rec.Now()})
 	})
 	at, err := o.publish()
-	o.rec.Add(func(h *History) { h.KeysGone[gone].At = at })
+	o.rec.Add(func(h *History) { h.RevokedKeys[gone].At = at })
 	return err
 }
 
@@ -97,7 +97,7 @@
 		}
 		o.cfg.Routes[i] = route(Moving, r.Prefix, to)
 		at, err := o.publish()
-		o.rec.Add(func(h *History) { h.Moves = append(h.Moves, Change{Name: to, At: at}) })
+		o.rec.Add(func(h *History) { h.RouteMoves = append(h.RouteMoves, Change{Name: to, At: at}) })
 		return err
 	}
 	return nil
@@ -111,7 +111,7 @@
 	o.cfg.Routes = append(o.cfg.Routes, route(Added, prefix, services[len(o.added)%2]))
 	at, err := o.publish()
 	o.added = append(o.added, prefix)
-	o.rec.Add(func(h *History) { h.Additions = append(h.Additions, Change{Name: prefix, At: at}) })
+	o.rec.Add(func(h *History) { h.RouteAdditions = append(h.RouteAdditions, Change{Name: prefix, At: at}) })
 	return err
 }
 
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -21,22 +21,22 @@
 	{RouterPause, 8, 200 * time.Millisecond, 7 * time.Second},
 	{RouterStop, 8, 200 * time.Millisecond, time.Second},
 	{RouterReload, 4, 0, 0},
-	{HerdKill, 1, 100 * time.Millisecond, time.Second},
+	{RouterKillAll, 1, 100 * time.Millisecond, time.Second},
 	{CallersDelay, 3, 500 * time.Millisecond, 2 * time.Second},
 	{CallersReset, 4, 0, 0},
-	{CallersHush, 2, 0, 0},
-	{CallersCut, 3, 300 * time.Millisecond, 3 * time.Second},
+	{CallersStall, 2, 0, 0},
+	{CallersPartition, 3, 300 * time.Millisecond, 3 * time.Second},
 	{StoreDelay, 3, 500 * time.Millisecond, 3 * time.Second},
 	{StoreReset, 3, 0, 0},
-	{StoreHush, 4, 0, 0},
-	{StoreCut, 4, 500 * time.Millisecond, 6 * time.Second},
-	{StoreAway, 4, 500 * time.Millisecond, 6 * time.Second},
+	{StoreStall, 4, 0, 0},
+	{StorePartition, 4, 500 * time.Millisecond, 6 * time.Second},
+	{StoreDownForRouter, 4, 500 * time.Millisecond, 6 * time.Second},
 	{StoreDown, 2, 500 * time.Millisecond, 6 * time.Second},
-	{StoreForget, 3, 0, 0},
+	{StoreCompact, 3, 0, 0},
 	{UpstreamDelay, 3, 300 * time.Millisecond, 2 * time.Second},
 	{UpstreamReset, 4, 0, 0},
-	{UpstreamHush, 3, 0, 0},
-	{UpstreamCut, 3, 300 * time.Millisecond, 3 * time.Second},
+	{UpstreamStall, 3, 0, 0},
+	{UpstreamPartition, 3, 300 * time.Millisecond, 3 * time.Second},
 	{UpstreamLeave, 8, time.Second, 3 * time.Second},
 	{UpstreamCrash, 6, time.Second, 3 * time.Second},
 	{UpstreamGrey, 8, time.Second, 4 * time.Second},
@@ -50,14 +50,14 @@
 var upstreamMenu = []weighted{
 	{CrashingRequest, 3, 6 * time.Second, 12 * time.Second},
 	{UpstreamNotice, 3, time.Second, 3 * time.Second},
-	{UpstreamRest, 3, 2 * time.Second, 5 * time.Second},
+	{UpstreamRetryAfter, 3, 2 * time.Second, 5 * time.Second},
 }
 
 // warmUpMenu has faults of warm-ups and failure domains, from a random stream of their own as
 // well.
 var warmUpMenu = []weighted{
 	{UpstreamCold, 4, 0, 0},
-	{UpstreamColdReturn, 3, 500 * time.Millisecond, 2 * time.Second},
+	{UpstreamColdRestart, 3, 500 * time.Millisecond, 2 * time.Second},
 	{DomainEvacuate, 3, 3 * time.Second, 7 * time.Second},
 }
 
@@ -119,12 +119,12 @@
 		if pick -= w.weight; pick >= 0 {
 			continue
 		}
-		f := Fault{At: at, Kind: w.kind, Target: target(rnd, cfg, w.kind), For: w.min, Variant: rnd.IntN(1 << 16)}
+		f := Fault{At: at, Kind: w.kind, Target: target(rnd, cfg, w.kind), ActiveFor: w.min, Variant: rnd.IntN(1 << 16)}
 		if w.max > w.min {
-			f.For += time.Duration(rnd.Int64N(int64(w.max - w.min)))
+			f.ActiveFor += time.Duration(rnd.Int64N(int64(w.max - w.min)))
 		}
 		// Nothing lasts into the time in which the fleet must serve as before.
-		f.For = min(f.For, cfg.Duration-at)
+		f.ActiveFor = min(f.ActiveFor, cfg.Duration-at)
 		return f
 	}
 	panic("soak: weights and total differ")
@@ -133,7 +133,7 @@
 // target draws the part that a kind of fault meets.
 func target(rnd *rand.Rand, cfg Config, kind FaultKind) int {
 	switch kind {
-	case UpstreamDelay, UpstreamReset, UpstreamHush, UpstreamCut, UpstreamLeave, UpstreamCrash, UpstreamGrey, UpstreamNotice, UpstreamRest, UpstreamCold, UpstreamColdReturn, DomainEvacuate:
+	case UpstreamDelay, UpstreamReset, UpstreamStall, UpstreamPartition, UpstreamLeave, UpstreamCrash, UpstreamGrey, UpstreamNotice, UpstreamRetryAfter, UpstreamCold, UpstreamColdRestart, DomainEvacuate:
 		return rnd.IntN(2 * cfg.Upstreams)
 	default:
 		return rnd.IntN(cfg.Routers)
--- a/soak/plan_test.go
+++ b/soak/plan_test.go
@@ -19,7 +19,7 @@
 		g.Expect(Plan(cfg)).To(Equal(plan))
 		for i, f := range plan {
 			seen[f.Kind] = true
-			g.Expect(f.At + f.For).To(BeNumerically("<=", cfg.Duration+cfg.Duration/10))
+			g.Expect(f.At + f.ActiveFor).To(BeNumerically("<=", cfg.Duration+cfg.Duration/10))
 			g.Expect(f.Target).To(BeNumerically("<", 2*cfg.Upstreams))
 			if i > 0 {
 				g.Expect(f.At).To(BeNumerically(">=", plan[i-1].At))
--- a/soak/recovery.go
+++ b/soak/recovery.go
@@ -10,10 +10,10 @@
 // of the usual number of callers.
 const recoverySpan = 500 * time.Millisecond
 
-// Recovery is how long after a moment the fleet served as before: from then on, in
+// RecoveryTime is how long after a moment the fleet served as before: from then on, in
 // each span, nearly all proper requests were served. It is the whole time until end
 // if it never did.
-func Recovery(h *History, from, end time.Duration) time.Duration {
+func RecoveryTime(h *History, from, end time.Duration) time.Duration {
 	c := &checker{h: h}
 	var after []Request
 	for _, req := range h.Requests {
--- a/soak/recovery_test.go
+++ b/soak/recovery_test.go
@@ -17,9 +17,9 @@
 		if at < 3*second {
 			status = http.StatusServiceUnavailable
 		}
-		h.Requests = append(h.Requests, Request{Sent: at, Whole: true, Status: status})
+		h.Requests = append(h.Requests, Request{Sent: at, Complete: true, Status: status})
 	}
-	g.Expect(Recovery(h, 0, 10*second)).To(BeNumerically("~", 3*second, recoverySpan))
-	g.Expect(Recovery(h, 4*second, 10*second)).To(BeZero())
-	g.Expect(Recovery(h, 0, 2*second)).To(Equal(2*second), "it has not served by then")
+	g.Expect(RecoveryTime(h, 0, 10*second)).To(BeNumerically("~", 3*second, recoverySpan))
+	g.Expect(RecoveryTime(h, 4*second, 10*second)).To(BeZero())
+	g.Expect(RecoveryTime(h, 0, 2*second)).To(Equal(2*second), "it has not served by then")
 }
--- a/soak/route.go
+++ b/soak/route.go
@@ -6,19 +6,19 @@
 	"github.com/aspenswitch/aspenswitch/routing"
 )
 
-// RouteKind is a kind of request that callers send.
-type RouteKind uint8
+// RequestKind is a kind of request that callers send.
+type RequestKind uint8
 
 // Kinds of requests.
 const (
-	// Lookup may be repeated.
-	Lookup RouteKind = iota
-	// Booking must run once at most.
-	Booking
-	// Stream may go on at another upstream.
-	Stream
-	// Feed is a stream that must run once at most.
-	Feed
+	// Repeatable may be repeated.
+	Repeatable RequestKind = iota
+	// AtMostOnce must run once at most.
+	AtMostOnce
+	// ResumableStream may go on at another upstream.
+	ResumableStream
+	// AtMostOnceStream is a stream that must run once at most.
+	AtMostOnceStream
 	// Moving may be repeated; its route moves from service to service.
 	Moving
 	// Added may be repeated; its route was added during the run.
@@ -41,16 +41,16 @@
 )
 
 // prefixes are where the kinds go; an added route has a prefix of its own.
-var prefixes = map[RouteKind]string{
-	Lookup: "/look/", Crashing: "/look/", Booking: "/book/", Stream: "/long/", Feed: "/feed/", Moving: "/move/",
+var prefixes = map[RequestKind]string{
+	Repeatable: "/look/", Crashing: "/look/", AtMostOnce: "/book/", ResumableStream: "/long/", AtMostOnceStream: "/feed/", Moving: "/move/",
 }
 
-func (k RouteKind) streams() bool { return k == Stream || k == Feed }
+func (k RequestKind) streams() bool { return k == ResumableStream || k == AtMostOnceStream }
 
 // once reports whether a request may run only once.
-func (k RouteKind) once() bool { return k == Booking || k == Feed }
+func (k RequestKind) once() bool { return k == AtMostOnce || k == AtMostOnceStream }
 
-func (k RouteKind) timeout() time.Duration {
+func (k RequestKind) timeout() time.Duration {
 	if k.streams() {
 		return streamTimeout
 	}
@@ -58,19 +58,19 @@
 }
 
 // route is the configuration of a kind.
-func route(kind RouteKind, prefix, service string) routing.Route {
+func route(kind RequestKind, prefix, service string) routing.Route {
 	r := routing.Route{
 		Name: prefix, Host: host, Prefix: prefix, Kind: routing.Safe, Timeout: kind.timeout(),
 		Target: 300 * time.Millisecond, MaxAttempts: 3, Split: []routing.Share{{Service: service, Weight: 1}},
 	}
 	switch kind {
-	case Booking:
+	case AtMostOnce:
 		r.Kind = routing.Unsafe
-	case Stream:
+	case ResumableStream:
 		r.Kind, r.Resumable = routing.Streaming, true
-	case Feed:
+	case AtMostOnceStream:
 		r.Kind = routing.Streaming
-	case Lookup, Moving, Added, Crashing:
+	case Repeatable, Moving, Added, Crashing:
 	}
 	return r
 }
--- a/soak/router.go
+++ b/soak/router.go
@@ -151,7 +151,7 @@
 }
 
 func (r *router) note(how string) {
-	e := Exit{Router: r.number, At: r.rec.Now(), How: how}
+	e := Exit{Router: r.number, At: r.rec.Now(), Reason: how}
 	r.rec.Add(func(h *History) { h.Exits = append(h.Exits, e) })
 }
 
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -63,13 +63,13 @@
 			plan := []soak.Fault{
 				{At: 3 * time.Second, Kind: soak.KeyChange},
 				{At: 3 * time.Second, Kind: soak.RouteMove},
-				{At: 3*time.Second + 20*time.Millisecond, Kind: soak.HerdKill, For: 200 * time.Millisecond},
+				{At: 3*time.Second + 20*time.Millisecond, Kind: soak.RouterKillAll, ActiveFor: 200 * time.Millisecond},
 			}
 			if down > 0 {
-				plan = append(plan, soak.Fault{At: 3 * time.Second, Kind: soak.StoreDown, For: down})
+				plan = append(plan, soak.Fault{At: 3 * time.Second, Kind: soak.StoreDown, ActiveFor: down})
 			}
 			r := playPlan(t, cfg, plan)
-			since := soak.Recovery(r.History, killedAt(r.History), killedAt(r.History)+5*time.Second+down)
+			since := soak.RecoveryTime(r.History, killedAt(r.History), killedAt(r.History)+5*time.Second+down)
 			t.Logf("served as before %v after all processes were killed", since)
 			// Starting takes a second or two with the race detector.
 			NewWithT(t).Expect(since).To(BeNumerically("<", 4*time.Second+down))
@@ -82,17 +82,17 @@
 	daemon := buildDaemon(t)
 	for slot, plan := range [][]soak.Fault{
 		{
-			{At: time.Second, Kind: soak.CrashingRequest, For: 8 * time.Second},
-			{At: 2 * time.Second, Kind: soak.RouterStop, Target: 1, For: 500 * time.Millisecond},
+			{At: time.Second, Kind: soak.CrashingRequest, ActiveFor: 8 * time.Second},
+			{At: 2 * time.Second, Kind: soak.RouterStop, Target: 1, ActiveFor: 500 * time.Millisecond},
 		},
 		{
-			{At: time.Second, Kind: soak.StoreDown, For: 4 * time.Second},
-			{At: 1500 * time.Millisecond, Kind: soak.UpstreamNotice, Target: 1, For: time.Second},
-			{At: 2 * time.Second, Kind: soak.UpstreamNotice, Target: 4, For: time.Second},
+			{At: time.Second, Kind: soak.StoreDown, ActiveFor: 4 * time.Second},
+			{At: 1500 * time.Millisecond, Kind: soak.UpstreamNotice, Target: 1, ActiveFor: time.Second},
+			{At: 2 * time.Second, Kind: soak.UpstreamNotice, Target: 4, ActiveFor: time.Second},
 		},
 		{
-			{At: time.Second, Kind: soak.UpstreamRest, Target: 1, For: 5 * time.Second, Variant: 1},
-			{At: 7 * time.Second, Kind: soak.UpstreamRest, Target: 1, For: 2 * time.Second},
+			{At: time.Second, Kind: soak.UpstreamRetryAfter, Target: 1, ActiveFor: 5 * time.Second, Variant: 1},
+			{At: 7 * time.Second, Kind: soak.UpstreamRetryAfter, Target: 1, ActiveFor: 2 * time.Second},
 		},
 	} {
 		t.Run(string(plan[0].Kind), func(t *testing.T) {
@@ -110,18 +110,18 @@
 	for slot, plan := range [][]soak.Fault{
 		{
 			{At: time.Second, Kind: soak.UpstreamCold, Target: 1},
-			{At: 1500 * time.Millisecond, Kind: soak.RouterKill, For: 300 * time.Millisecond},
+			{At: 1500 * time.Millisecond, Kind: soak.RouterKill, ActiveFor: 300 * time.Millisecond},
 			{At: 2 * time.Second, Kind: soak.UpstreamCold, Target: 4},
-			{At: 5 * time.Second, Kind: soak.UpstreamColdReturn, Target: 2, For: 500 * time.Millisecond},
+			{At: 5 * time.Second, Kind: soak.UpstreamColdRestart, Target: 2, ActiveFor: 500 * time.Millisecond},
 		},
 		{
-			{At: time.Second, Kind: soak.DomainEvacuate, For: 5 * time.Second},
-			{At: 2 * time.Second, Kind: soak.StoreDown, For: 2 * time.Second},
+			{At: time.Second, Kind: soak.DomainEvacuate, ActiveFor: 5 * time.Second},
+			{At: 2 * time.Second, Kind: soak.StoreDown, ActiveFor: 2 * time.Second},
 		},
 		{
-			{At: time.Second, Kind: soak.DomainEvacuate, Target: 1, For: 2 * time.Second},
-			{At: 2500 * time.Millisecond, Kind: soak.StoreCut, Target: 2, For: 3 * time.Second},
-			{At: 6 * time.Second, Kind: soak.DomainEvacuate, Target: 1, For: time.Second},
+			{At: time.Second, Kind: soak.DomainEvacuate, Target: 1, ActiveFor: 2 * time.Second},
+			{At: 2500 * time.Millisecond, Kind: soak.StorePartition, Target: 2, ActiveFor: 3 * time.Second},
+			{At: 6 * time.Second, Kind: soak.DomainEvacuate, Target: 1, ActiveFor: time.Second},
 		},
 	} {
 		t.Run(fmt.Sprint(plan[0].Kind, slot), func(t *testing.T) {
@@ -142,8 +142,8 @@
 
 // killedAt is when all routers were killed.
 func killedAt(h *soak.History) time.Duration {
-	for _, d := range h.Disturbances {
-		if d.Kind == soak.HerdKill {
+	for _, d := range h.FaultIntervals {
+		if d.Kind == soak.RouterKillAll {
 			return d.From
 		}
 	}
@@ -159,7 +159,7 @@
 	t.Helper()
 	g := NewWithT(t)
 	cfg.Dir = t.TempDir()
-	r, err := soak.PlayPlan(cfg, plan)
+	r, err := soak.ExecutePlan(cfg, plan)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(r.Violations).To(BeEmpty(), "seed %d", cfg.Seed)
 	g.Expect(r.Served).To(BeNumerically(">", 100), "seed %d", cfg.Seed)
--- a/soak/upstreams.go
+++ b/soak/upstreams.go
@@ -69,7 +69,7 @@
 // work is what a request takes; streams are told by their path.
 func work(r *http.Request) standin.Work {
 	w := standin.Work{Takes: workTakes}
-	if strings.HasPrefix(r.URL.Path, prefixes[Stream]) || strings.HasPrefix(r.URL.Path, prefixes[Feed]) {
+	if strings.HasPrefix(r.URL.Path, prefixes[ResumableStream]) || strings.HasPrefix(r.URL.Path, prefixes[AtMostOnceStream]) {
 		w.Events, w.Gap = streamEvents, streamGap
 	}
 	return w
--- a/soak/warmup.go
+++ b/soak/warmup.go
@@ -68,7 +68,7 @@
 		return nil // it is being evacuated already
 	}
 	from := d.rec.Now()
-	time.Sleep(f.For)
+	time.Sleep(f.ActiveFor)
 	d.rec.Add(func(h *History) {
 		h.Evacuations = append(h.Evacuations, Span{Name: domain, From: from, To: d.rec.Now()})
 	})
