--- a/cmd/aspenswitch-load/main.go
+++ b/cmd/aspenswitch-load/main.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		return err
 	}
-	return lab.Table(os.Stdout, sheet, seed)
+	return lab.WriteTable(os.Stdout, sheet, seed)
 }
 
 func runBench(quick bool, boundsFile, dir string) error {
@@ -72,7 +72,7 @@
 	if err != nil {
 		return err
 	}
-	beyond, err := bounds.Beyond(all)
+	beyond, err := bounds.Violations(all)
 	if err != nil {
 		return err
 	}
--- a/experiment/bench.go
+++ b/experiment/bench.go
@@ -44,8 +44,8 @@
 
 // Bound is what a figure may be at most or at least.
 type Bound struct {
-	Most  *float64 `json:"most,omitempty"`
-	Least *float64 `json:"least,omitempty"`
+	Max *float64 `json:"most,omitempty"`
+	Min *float64 `json:"least,omitempty"`
 }
 
 // Bounds are the regression bounds by load and figure.
@@ -120,8 +120,8 @@
 	return b, Error.Wrap(json.Unmarshal(raw, &b))
 }
 
-// Beyond names every figure that is beyond its bound.
-func (b Bounds) Beyond(all []Comparison) ([]string, error) {
+// Violations names every figure that is beyond its bound.
+func (b Bounds) Violations(all []Comparison) ([]string, error) {
 	var beyond []string
 	for _, c := range all {
 		figures, err := c.Ratios.figures()
@@ -133,11 +133,11 @@
 			if !ok {
 				return nil, Error.New("bound for %q, which is not measured", name)
 			}
-			if bound.Most != nil && value > *bound.Most {
-				beyond = append(beyond, fmt.Sprintf("%s %s is %.4f, at most %.4f", c.Load, name, value, *bound.Most))
+			if bound.Max != nil && value > *bound.Max {
+				beyond = append(beyond, fmt.Sprintf("%s %s is %.4f, at most %.4f", c.Load, name, value, *bound.Max))
 			}
-			if bound.Least != nil && value < *bound.Least {
-				beyond = append(beyond, fmt.Sprintf("%s %s is %.4f, at least %.4f", c.Load, name, value, *bound.Least))
+			if bound.Min != nil && value < *bound.Min {
+				beyond = append(beyond, fmt.Sprintf("%s %s is %.4f, at least %.4f", c.Load, name, value, *bound.Min))
 			}
 		}
 	}
--- a/experiment/load.go
+++ b/experiment/load.go
@@ -27,9 +27,9 @@
 	// MeanCost is the mean of a request's cost in slot seconds; costs are
 	// lognormal with Sigma.
 	MeanCost, Sigma float64
-	// Phase is how long the peak and the half load last, by turns.
-	Phase    time.Duration
-	Duration time.Duration
+	// PhaseLength is how long the peak and the half load last, by turns.
+	PhaseLength time.Duration
+	Duration    time.Duration
 	// OneWay is the delay of a message between two routers.
 	OneWay time.Duration
 }
@@ -72,7 +72,7 @@
 func Midlands(seed uint64, duration time.Duration) Load {
 	return Load{
 		Name: "midlands", Seed: seed, Routers: 7, Upstreams: 24, SlotsPerUpstream: 8,
-		Teams: teams(16, 3, 7, 1.6), MeanCost: 1.3, Sigma: 1, Phase: 20 * time.Second,
+		Teams: teams(16, 3, 7, 1.6), MeanCost: 1.3, Sigma: 1, PhaseLength: 20 * time.Second,
 		Duration: duration, OneWay: 500 * time.Microsecond,
 	}
 }
@@ -82,7 +82,7 @@
 // It is the worst case for control traffic.
 func JustFull(seed uint64, duration time.Duration) Load {
 	l := Midlands(seed, duration)
-	l.Name, l.Phase = "just-full", 0
+	l.Name, l.PhaseLength = "just-full", 0
 	for i := range l.Teams {
 		l.Teams[i].Demand = justFull
 	}
@@ -93,7 +93,7 @@
 func Vilaine(seed uint64, duration time.Duration) Load {
 	return Load{
 		Name: "vilaine", Seed: seed, Routers: 6, Upstreams: 15, SlotsPerUpstream: 8,
-		Teams: teams(16, 3, 6, 1.6), MeanCost: 1.3, Sigma: 1, Phase: 20 * time.Second,
+		Teams: teams(16, 3, 6, 1.6), MeanCost: 1.3, Sigma: 1, PhaseLength: 20 * time.Second,
 		Duration: duration, OneWay: 1500 * time.Microsecond,
 	}
 }
@@ -119,7 +119,7 @@
 	at := time.Duration(0)
 	for {
 		rate := peak
-		if l.Phase > 0 && (at/l.Phase)%2 == 1 {
+		if l.PhaseLength > 0 && (at/l.PhaseLength)%2 == 1 {
 			rate *= halfLoad
 		}
 		at += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
--- a/experiment/outcome.go
+++ b/experiment/outcome.go
@@ -105,7 +105,7 @@
 // WithFlood returns the load without quiet phases, in which the first team asks
 // for times as much as it did.
 func (l Load) WithFlood(times float64) Load {
-	l.Phase = 0
+	l.PhaseLength = 0
 	l.Teams = slices.Clone(l.Teams)
 	l.Teams[0].Demand *= times
 	return l
--- a/lab/busy_test.go
+++ b/lab/busy_test.go
@@ -24,20 +24,20 @@
 // router.
 func busyRouter(seed uint64, processor float64) lab.Result {
 	const s = time.Second
-	l := lab.Grown(seed)
-	l.Scale, l.Length = 0.5, 24*s
-	l.Hot = []lab.Hot{
-		{Team: 0, Times: 0.6, From: 0, To: 8 * s},
-		{Team: 0, Times: 4, From: 8 * s, To: 20 * s},
-		{Team: 1, Times: 4, From: 6 * s, To: 20 * s},
-		{Team: 2, Times: 9, From: 6 * s, To: 20 * s},
+	l := lab.GrownLoad(seed)
+	l.Scale, l.Duration = 0.5, 24*s
+	l.Surges = []lab.Surge{
+		{Team: 0, Factor: 0.6, From: 0, To: 8 * s},
+		{Team: 0, Factor: 4, From: 8 * s, To: 20 * s},
+		{Team: 1, Factor: 4, From: 6 * s, To: 20 * s},
+		{Team: 2, Factor: 9, From: 6 * s, To: 20 * s},
 	}
-	shape := lab.Shape{Engines: l.Sheet.Engines, Routers: busyRouters}
-	shape.Lost = []lab.Lost{{Engines: 3 * l.Sheet.Engines / 8, From: 10 * s, To: 14 * s}}
+	shape := lab.Fleet{Engines: l.Sheet.Engines, Routers: busyRouters}
+	shape.EngineOutages = []lab.EngineOutage{{Engines: 3 * l.Sheet.Engines / 8, From: 10 * s, To: 14 * s}}
 	for range busyRouters {
-		shape.Processors = append(shape.Processors, processor)
+		shape.RouterCPUs = append(shape.RouterCPUs, processor)
 	}
-	return lab.Play(l, shape, lab.Home)
+	return lab.Simulate(l, shape, lab.Home)
 }
 
 // A team's callers all meet one small router and ask for ten times the team's share.
@@ -48,7 +48,7 @@
 func TestTeamAtABusyRouterGetsItsShare(t *testing.T) {
 	g := NewWithT(t)
 	for seed := range uint64(4) {
-		g.Expect(busyRouter(seed, smallProcessor).Gap).To(BeNumerically(">", unfair), "seed %d", seed)
+		g.Expect(busyRouter(seed, smallProcessor).FairnessRatio).To(BeNumerically(">", unfair), "seed %d", seed)
 	}
 }
 
@@ -56,6 +56,6 @@
 func TestTeamAtARouterWithTimeToSpareGetsItsShare(t *testing.T) {
 	g := NewWithT(t)
 	for seed := range uint64(4) {
-		g.Expect(busyRouter(seed, 4*smallProcessor).Gap).To(BeNumerically(">", unfair), "seed %d", seed)
+		g.Expect(busyRouter(seed, 4*smallProcessor).FairnessRatio).To(BeNumerically(">", unfair), "seed %d", seed)
 	}
 }
--- a/lab/engine.go
+++ b/lab/engine.go
@@ -14,7 +14,7 @@
 type engine struct {
 	id      string
 	clock   *clock
-	sheet   *EngineSheet
+	sheet   *EngineModel
 	speed   float64
 	waiting []*sequence
 	running []*sequence
@@ -47,7 +47,7 @@
 	done      func()
 }
 
-func newEngine(id string, c *clock, sheet *EngineSheet, speed float64) *engine {
+func newEngine(id string, c *clock, sheet *EngineModel, speed float64) *engine {
 	return &engine{id: id, clock: c, sheet: sheet, speed: speed, kept: map[uint64]*list.Element{}}
 }
 
--- a/lab/homes.go
+++ b/lab/homes.go
@@ -25,7 +25,7 @@
 		// Homes don't tell in step.
 		w.clock.after(tellEvery*time.Duration(i)/time.Duration(w.shape.Homes), func() { h.tell(i) })
 	}
-	for _, r := range w.shape.Replaced {
+	for _, r := range w.shape.HomeReplacements {
 		w.clock.after(r.At, func() { h.replace(r.Home) })
 	}
 	return h
@@ -56,12 +56,12 @@
 // after runs a function when a message between homes arrives, if it does.
 func (h *homes) after(do func()) {
 	shape := &h.w.shape
-	if shape.TellLoss > 0 && h.w.rnd.Float64() < shape.TellLoss {
+	if shape.ReportLoss > 0 && h.w.rnd.Float64() < shape.ReportLoss {
 		return
 	}
 	delay := h.delay
-	if shape.TellDelay > 0 {
-		delay += time.Duration(h.w.rnd.Int64N(int64(shape.TellDelay)))
+	if shape.MaxReportDelay > 0 {
+		delay += time.Duration(h.w.rnd.Int64N(int64(shape.MaxReportDelay)))
 	}
 	h.w.clock.after(delay, do)
 }
--- a/lab/homes_test.go
+++ b/lab/homes_test.go
@@ -24,20 +24,20 @@
 // The callers of two meet all routers, those of the others one each.
 func floodsOverManyHomes(seed uint64) lab.Result {
 	const s = time.Second
-	l := lab.Grown(seed)
+	l := lab.GrownLoad(seed)
 	engines := manyHomes * enginesOfHome
-	l.Scale, l.Length = 0.5*float64(engines)/float64(l.Sheet.Engines), 20*s
-	l.Hot = []lab.Hot{
-		{Team: 0, Times: 2, From: 4 * s, To: 20 * s},
-		{Team: 1, Times: 4, From: 4 * s, To: 20 * s},
-		{Team: 2, Times: 6, From: 4 * s, To: 20 * s},
-		{Team: 3, Times: 8, From: 4 * s, To: 20 * s},
+	l.Scale, l.Duration = 0.5*float64(engines)/float64(l.Sheet.Engines), 20*s
+	l.Surges = []lab.Surge{
+		{Team: 0, Factor: 2, From: 4 * s, To: 20 * s},
+		{Team: 1, Factor: 4, From: 4 * s, To: 20 * s},
+		{Team: 2, Factor: 6, From: 4 * s, To: 20 * s},
+		{Team: 3, Factor: 8, From: 4 * s, To: 20 * s},
 	}
-	shape := lab.Shape{Engines: engines, Routers: manyRouters, Homes: manyHomes, Wide: []int{0, 2}}
+	shape := lab.Fleet{Engines: engines, Routers: manyRouters, Homes: manyHomes, SpreadTeams: []int{0, 2}}
 	for range manyRouters {
-		shape.Processors = append(shape.Processors, ample)
+		shape.RouterCPUs = append(shape.RouterCPUs, ample)
 	}
-	return lab.Play(l, shape, lab.Home)
+	return lab.Simulate(l, shape, lab.Home)
 }
 
 // Guards against teams behind one router that get a part of what widely spread teams get.
@@ -45,6 +45,6 @@
 	g := NewWithT(t)
 	for seed := range uint64(3) {
 		r := floodsOverManyHomes(seed)
-		g.Expect(r.Gap).To(BeNumerically(">", fairPart), "seed %d", seed)
+		g.Expect(r.FairnessRatio).To(BeNumerically(">", fairPart), "seed %d", seed)
 	}
 }
--- a/lab/lab_test.go
+++ b/lab/lab_test.go
@@ -10,10 +10,10 @@
 )
 
 // shape is the smaller deployment.
-var shape = lab.Shape{Engines: 18, Routers: 6}
+var shape = lab.Fleet{Engines: 18, Routers: 6}
 
 func calm(seed uint64) lab.Load {
-	return lab.Load{Sheet: lab.Builtin("midlands"), Scale: 0.6, Length: 15 * time.Second, Seed: seed}
+	return lab.Load{Sheet: lab.BuiltinSheet("midlands"), Scale: 0.6, Duration: 15 * time.Second, Seed: seed}
 }
 
 func heavy(seed uint64) lab.Load {
@@ -24,7 +24,7 @@
 
 func flood(seed uint64) lab.Load {
 	l := heavy(seed)
-	l.Hot = []lab.Hot{{Team: 1, Times: 7, From: 4 * time.Second, To: 10 * time.Second}}
+	l.Surges = []lab.Surge{{Team: 1, Factor: 7, From: 4 * time.Second, To: 10 * time.Second}}
 	return l
 }
 
@@ -35,12 +35,12 @@
 	var sum lab.Result
 	n := float64(len(seeds))
 	for _, seed := range seeds {
-		r := lab.Play(load(seed), shape, p)
+		r := lab.Simulate(load(seed), shape, p)
 		sum.Worth += r.Worth / n
-		sum.SmallTeams += r.SmallTeams / n
+		sum.SmallTeamsWorth += r.SmallTeamsWorth / n
 		sum.OnTime += r.OnTime / n
-		sum.Cut += r.Cut / n
-		sum.Reread += r.Reread / n
+		sum.TimedOut += r.TimedOut / n
+		sum.RedundantPrefill += r.RedundantPrefill / n
 	}
 	return sum
 }
@@ -52,8 +52,8 @@
 	g := NewWithT(t)
 	r := mean(calm, lab.Home)
 	g.Expect(r.OnTime).To(BeNumerically(">", 0.96))
-	g.Expect(r.Reread).To(BeNumerically("<", 0.03))
-	g.Expect(mean(calm, lab.Least).Reread).To(BeNumerically(">", 0.2))
+	g.Expect(r.RedundantPrefill).To(BeNumerically("<", 0.03))
+	g.Expect(mean(calm, lab.LeastOutstanding).RedundantPrefill).To(BeNumerically(">", 0.2))
 }
 
 // A heavy day asks for as much as the engines can read. Callers who can't be
@@ -63,9 +63,9 @@
 	g := NewWithT(t)
 	home := mean(heavy, lab.Home)
 	g.Expect(home.Worth).To(BeNumerically(">", 0.8))
-	g.Expect(home.Cut).To(BeNumerically("<", 0.05))
-	g.Expect(home.Worth).To(BeNumerically(">", 1.6*mean(heavy, lab.Session).Worth))
-	g.Expect(home.Worth).To(BeNumerically(">", 3*mean(heavy, lab.Least).Worth))
+	g.Expect(home.TimedOut).To(BeNumerically("<", 0.05))
+	g.Expect(home.Worth).To(BeNumerically(">", 1.6*mean(heavy, lab.SessionHash).Worth))
+	g.Expect(home.Worth).To(BeNumerically(">", 3*mean(heavy, lab.LeastOutstanding).Worth))
 }
 
 // Long narratives are worth most, and the engines read in large chunks. On a heavy day
@@ -74,12 +74,12 @@
 // served). Engines rest for their streams: 0.012 to 0.019, and 0.95 to 0.97.
 func TestLongAnswersEndOnAHeavyDay(t *testing.T) {
 	g := NewWithT(t)
-	sheet := lab.Builtin("cooling")
+	sheet := lab.BuiltinSheet("cooling")
 	for _, seed := range seeds {
-		r := lab.Play(lab.Load{Sheet: sheet, Scale: 1, Length: 30 * time.Second, Seed: seed}, sheet.Shape(), lab.Home)
-		g.Expect(r.Cut).To(BeNumerically("<", 0.03))
-		g.Expect(r.WorstTeams).To(BeNumerically(">", 0.65))
-		g.Expect(r.Owed).To(BeNumerically(">", 0.94))
+		r := lab.Simulate(lab.Load{Sheet: sheet, Scale: 1, Duration: 30 * time.Second, Seed: seed}, sheet.Fleet(), lab.Home)
+		g.Expect(r.TimedOut).To(BeNumerically("<", 0.03))
+		g.Expect(r.WorstTeamsWorth).To(BeNumerically(">", 0.65))
+		g.Expect(r.FairShareWorth).To(BeNumerically(">", 0.94))
 	}
 }
 
@@ -88,8 +88,8 @@
 func TestFloodOfOneTeamSparesTheSmallOnes(t *testing.T) {
 	g := NewWithT(t)
 	home := mean(flood, lab.Home)
-	g.Expect(home.SmallTeams).To(BeNumerically(">", 0.85))
-	g.Expect(home.SmallTeams).To(BeNumerically(">", 2*mean(flood, lab.Session).SmallTeams))
+	g.Expect(home.SmallTeamsWorth).To(BeNumerically(">", 0.85))
+	g.Expect(home.SmallTeamsWorth).To(BeNumerically(">", 2*mean(flood, lab.SessionHash).SmallTeamsWorth))
 }
 
 // Asking a home over the network costs little against a core without any delay.
@@ -104,7 +104,7 @@
 // The same seed plays the same day.
 func TestPlaysRepeat(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(lab.Play(heavy(3), shape, lab.Home)).To(Equal(lab.Play(heavy(3), shape, lab.Home)))
+	g.Expect(lab.Simulate(heavy(3), shape, lab.Home)).To(Equal(lab.Simulate(heavy(3), shape, lab.Home)))
 }
 
 // The largest team alone asks for more than the engines give, two smaller ones flood
@@ -114,9 +114,9 @@
 func TestFloodsOfTheGrownDeploymentAreSharedOut(t *testing.T) {
 	g := NewWithT(t)
 	for _, seed := range seeds {
-		r := lab.Play(lab.Grown(seed), lab.Shape{Engines: lab.Grown(seed).Sheet.Engines, Routers: 6}, lab.Home)
-		g.Expect(r.Owed).To(BeNumerically(">", 0.9))
-		g.Expect(r.SmallTeams).To(BeNumerically(">", 0.85))
-		g.Expect(r.Gap).To(BeNumerically(">", 0.6))
+		r := lab.Simulate(lab.GrownLoad(seed), lab.Fleet{Engines: lab.GrownLoad(seed).Sheet.Engines, Routers: 6}, lab.Home)
+		g.Expect(r.FairShareWorth).To(BeNumerically(">", 0.9))
+		g.Expect(r.SmallTeamsWorth).To(BeNumerically(">", 0.85))
+		g.Expect(r.FairnessRatio).To(BeNumerically(">", 0.6))
 	}
 }
--- a/lab/load.go
+++ b/lab/load.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// Hot is a span in which one team asks for a multiple of its usual.
-type Hot struct {
+// Surge is a span in which one team asks for a multiple of its usual.
+type Surge struct {
 	// Team is the rank by size, 0 the largest.
 	Team     int
-	Times    float64
+	Factor   float64
 	From, To time.Duration
 }
 
@@ -18,12 +18,12 @@
 type Load struct {
 	Sheet *Sheet
 	// Scale multiplies the rates.
-	Scale  float64
-	Hot    []Hot
-	Length time.Duration
-	Seed   uint64
-	// Returns is how often a caller that was refused comes back.
-	Returns int
+	Scale    float64
+	Surges   []Surge
+	Duration time.Duration
+	Seed     uint64
+	// MaxRetries is how often a caller that was refused comes back.
+	MaxRetries int
 }
 
 // arrival is one request of a load.
@@ -51,7 +51,7 @@
 	for c, class := range l.Sheet.Classes {
 		for team, w := range weights {
 			rate := class.PerSecond * l.Scale * w / total
-			for at := time.Duration(0); at < l.Length; {
+			for at := time.Duration(0); at < l.Duration; {
 				wait := gap(rnd, l.rate(rate, team, at))
 				at += min(wait, longestGap)
 				if wait > longestGap {
@@ -70,9 +70,9 @@
 }
 
 func (l Load) rate(usual float64, team int, at time.Duration) float64 {
-	for _, h := range l.Hot {
+	for _, h := range l.Surges {
 		if team == h.Team && at >= h.From && at < h.To {
-			usual *= h.Times
+			usual *= h.Factor
 		}
 	}
 	return usual
--- a/lab/policy.go
+++ b/lab/policy.go
@@ -30,14 +30,14 @@
 	Omniscient Policy = "omniscient"
 	// Random takes any engine and refuses nothing.
 	Random Policy = "random"
-	// Least takes the engine to which the own router has least outstanding.
-	Least Policy = "least outstanding"
-	// Session hashes a session to an engine and refuses nothing.
-	Session Policy = "session hash"
+	// LeastOutstanding takes the engine to which the own router has least outstanding.
+	LeastOutstanding Policy = "least outstanding"
+	// SessionHash hashes a session to an engine and refuses nothing.
+	SessionHash Policy = "session hash"
 )
 
 // Policies returns all, the rivals first.
-func Policies() []Policy { return []Policy{Random, Least, Session, Home, Omniscient} }
+func Policies() []Policy { return []Policy{Random, LeastOutstanding, SessionHash, Home, Omniscient} }
 
 // oneWay is the time of a message between routers of different failure domains.
 const oneWay = 500 * time.Microsecond
@@ -53,7 +53,7 @@
 		return w.newCore(0)
 	case Random:
 		return &blind{w: w, pick: func(*request) int { return w.rnd.IntN(len(w.engines)) }}
-	case Session:
+	case SessionHash:
 		return &blind{w: w, pick: func(r *request) int {
 			return int(xxhash.Sum64String(strconv.FormatUint(r.parts[1].ID, 16)) % uint64(len(w.engines)))
 		}}
@@ -78,7 +78,7 @@
 func (w *world) newCoreOf(delay time.Duration, index, homes int) *cored {
 	c := &cored{w: w, core: dispatch.New(dispatch.DefaultConfig(true)), delay: delay, index: index, homes: homes}
 	c.setEngines(0)
-	c.lose(w.shape.Lost)
+	c.lose(w.shape.EngineOutages)
 	c.tick()
 	return c
 }
@@ -98,7 +98,7 @@
 }
 
 // lose plays the times in which engines are lost.
-func (c *cored) lose(all []Lost) {
+func (c *cored) lose(all []EngineOutage) {
 	for _, l := range all {
 		c.w.clock.after(l.From, func() { c.setEngines(l.Engines) })
 		c.w.clock.after(l.To, func() { c.setEngines(0) })
--- a/lab/sheet.go
+++ b/lab/sheet.go
@@ -20,12 +20,12 @@
 	// Teams' sizes fall as the rank to the power of Skew.
 	Teams   int         `json:"teams"`
 	Skew    float64     `json:"skew"`
-	Engine  EngineSheet `json:"engine"`
+	Engine  EngineModel `json:"engine"`
 	Classes []Class     `json:"classes"`
 }
 
-// EngineSheet is an engine's data sheet.
-type EngineSheet struct {
+// EngineModel is an engine's data sheet.
+type EngineModel struct {
 	// Slots is how many requests run at once.
 	Slots int `json:"slots"`
 	// KVTokens is the memory that running requests and kept parts share.
@@ -78,18 +78,18 @@
 func (c *Class) target() time.Duration   { return inMillis(c.TargetMs) }
 func (c *Class) deadline() time.Duration { return inMillis(c.DeadlineMs) }
 
-// Shape is the sheet's fleet.
-func (s *Sheet) Shape() Shape { return Shape{Engines: s.Engines, Routers: s.Routers} }
+// Fleet is the sheet's fleet.
+func (s *Sheet) Fleet() Fleet { return Fleet{Engines: s.Engines, Routers: s.Routers} }
 
-func (e *EngineSheet) copyPerToken() time.Duration { return time.Duration(e.CopyNsPerToken) }
+func (e *EngineModel) copyPerToken() time.Duration { return time.Duration(e.CopyNsPerToken) }
 
 //go:embed sheets/*.json
 var builtin embed.FS
 
-// Builtin returns a sheet that comes with the laboratory: midlands, vilaine-grown,
+// BuiltinSheet returns a sheet that comes with the laboratory: midlands, vilaine-grown,
 // cooling or cooling-grown. It panics if there is none of that name, or it has findings:
 // the tests read them all.
-func Builtin(name string) *Sheet {
+func BuiltinSheet(name string) *Sheet {
 	file := "sheets/" + name + ".json"
 	raw, err := builtin.ReadFile(file)
 	if err != nil {
@@ -158,9 +158,9 @@
 	}
 }
 
-// Part is what one of so many homes decides for: its part of the engines, the requests
+// PerHome is what one of so many homes decides for: its part of the engines, the requests
 // and the sessions.
-func (s *Sheet) Part(homes int) *Sheet {
+func (s *Sheet) PerHome(homes int) *Sheet {
 	part := *s
 	part.Engines = s.Engines / homes
 	part.TokensPerSecond /= float64(homes)
--- a/lab/sheet_test.go
+++ b/lab/sheet_test.go
@@ -36,8 +36,8 @@
 // The part of one home holds its part of everything that grows with the fleet.
 func TestPartOfASheet(t *testing.T) {
 	g := NewWithT(t)
-	whole := lab.Builtin("cooling-grown")
-	part := whole.Part(3)
+	whole := lab.BuiltinSheet("cooling-grown")
+	part := whole.PerHome(3)
 	g.Expect(part.Engines).To(Equal(30))
 	g.Expect(part.TokensPerSecond * 3).To(BeNumerically("~", whole.TokensPerSecond, 1))
 	g.Expect(part.Classes[0].PerSecond * 3).To(BeNumerically("~", whole.Classes[0].PerSecond, 1e-9))
--- a/lab/table.go
+++ b/lab/table.go
@@ -23,10 +23,10 @@
 // one team at seven times its usual for a while.
 func days(sheet *Sheet, seed uint64) []day {
 	const length = 30 * time.Second
-	load := Load{Sheet: sheet, Length: length, Seed: seed}
+	load := Load{Sheet: sheet, Duration: length, Seed: seed}
 	calm, heavy, flood := load, load, load
 	calm.Scale, heavy.Scale, flood.Scale = 0.6, 1, 1
-	flood.Hot = []Hot{{Team: 1, Times: 7, From: length / 4, To: length / 2}}
+	flood.Surges = []Surge{{Team: 1, Factor: 7, From: length / 4, To: length / 2}}
 	return []day{{"calm", sheet, calm}, {"heavy", sheet, heavy}, {"flood", sheet, flood}}
 }
 
@@ -34,30 +34,30 @@
 // plays one home's part.
 const grownParts = 4
 
-// Grown is a day of floods at one home's part of a grown deployment: the largest team
+// GrownLoad is a day of floods at one home's part of a grown deployment: the largest team
 // asks for more than the engines give, two smaller ones flood, and callers come back.
-func Grown(seed uint64) Load {
+func GrownLoad(seed uint64) Load {
 	const s = time.Second
-	return Load{Sheet: Builtin("vilaine-grown").Part(grownParts), Scale: 1, Length: 30 * s, Seed: seed, Returns: 1, Hot: []Hot{
-		{Team: 0, Times: 0.02, From: 0, To: 8 * s},
-		{Team: 6, Times: 11.6, From: 3500 * time.Millisecond, To: 11400 * time.Millisecond},
-		{Team: 2, Times: 3.6, From: 9500 * time.Millisecond, To: 17 * s},
-		{Team: 1, Times: 0.05, From: 11500 * time.Millisecond, To: 18400 * time.Millisecond},
-		{Team: 11, Times: 12, From: 13500 * time.Millisecond, To: 18500 * time.Millisecond},
+	return Load{Sheet: BuiltinSheet("vilaine-grown").PerHome(grownParts), Scale: 1, Duration: 30 * s, Seed: seed, MaxRetries: 1, Surges: []Surge{
+		{Team: 0, Factor: 0.02, From: 0, To: 8 * s},
+		{Team: 6, Factor: 11.6, From: 3500 * time.Millisecond, To: 11400 * time.Millisecond},
+		{Team: 2, Factor: 3.6, From: 9500 * time.Millisecond, To: 17 * s},
+		{Team: 1, Factor: 0.05, From: 11500 * time.Millisecond, To: 18400 * time.Millisecond},
+		{Team: 11, Factor: 12, From: 13500 * time.Millisecond, To: 18500 * time.Millisecond},
 	}}
 }
 
-// Table plays a sheet's days, and the grown one, under all policies and prints what
+// WriteTable plays a sheet's days, and the grown one, under all policies and prints what
 // callers got.
-func Table(out io.Writer, sheet *Sheet, seed uint64) error {
+func WriteTable(out io.Writer, sheet *Sheet, seed uint64) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "day\tpolicy\tworth\tof owed\tworst teams\tgap\tsmall teams\ton time\tlate\trefused\tcut\tread again")
-	grown := Grown(seed)
+	grown := GrownLoad(seed)
 	for _, d := range append(days(sheet, seed), day{"grown", grown.Sheet, grown}) {
 		for _, p := range Policies() {
-			r := Play(d.load, d.sheet.Shape(), p)
+			r := Simulate(d.load, d.sheet.Fleet(), p)
 			fmt.Fprintf(w, "%s\t%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\n",
-				d.name, p, r.Worth, r.Owed, r.WorstTeams, r.Gap, r.SmallTeams, r.OnTime, r.Late, r.Refused, r.Cut, r.Reread)
+				d.name, p, r.Worth, r.FairShareWorth, r.WorstTeamsWorth, r.FairnessRatio, r.SmallTeamsWorth, r.OnTime, r.Late, r.Refused, r.TimedOut, r.RedundantPrefill)
 		}
 	}
 	return Error.Wrap(w.Flush())
--- a/lab/world.go
+++ b/lab/world.go
@@ -14,7 +14,7 @@
 type world struct {
 	clock    *clock
 	load     Load
-	shape    Shape
+	shape    Fleet
 	engines  []*engine
 	byID     map[string]*engine
 	routers  []*router
@@ -60,75 +60,75 @@
 // Result is what callers got, as parts of what was offered.
 type Result struct {
 	Policy Policy
-	// Worth is earned over offered; ByClass the same for each kind, SmallTeams
+	// Worth is earned over offered; WorthByClass the same for each kind, SmallTeamsWorth
 	// for the teams below the median size.
-	Worth      float64
-	ByClass    map[string]float64
-	SmallTeams float64
-	// Owed is what teams earned of what they were owed: what a team asks beyond
-	// its max-min share of the published yield counts neither way. WorstTeams is
+	Worth           float64
+	WorthByClass    map[string]float64
+	SmallTeamsWorth float64
+	// FairShareWorth is what teams earned of what they were owed: what a team asks beyond
+	// its max-min share of the published yield counts neither way. WorstTeamsWorth is
 	// the same for the tenth of the teams that got least of theirs.
-	Owed, WorstTeams float64
-	// Gap is the least part of its due that a team got over six seconds.
-	Gap float64
-	// GapBeyond is the same with three of the largest requests left out, as users reckon.
-	GapBeyond float64
-	// OnTime, Late, Refused, Cut are parts of the requests.
-	OnTime, Late, Refused, Cut float64
-	// Reread is the part of the tokens read that shared parts read again took.
-	Reread float64
-	asked  float64
+	FairShareWorth, WorstTeamsWorth float64
+	// FairnessRatio is the least part of its due that a team got over six seconds.
+	FairnessRatio float64
+	// TrimmedFairnessRatio is the same with three of the largest requests left out, as users reckon.
+	TrimmedFairnessRatio float64
+	// OnTime, Late, Refused, TimedOut are parts of the requests.
+	OnTime, Late, Refused, TimedOut float64
+	// RedundantPrefill is the part of the tokens read that shared parts read again took.
+	RedundantPrefill float64
+	asked            float64
 }
 
-// Shape is the lab's fleet.
-type Shape struct {
+// Fleet is the lab's fleet.
+type Fleet struct {
 	Engines, Routers int
 	// Homes is how many homes divide the engines; 0 is one.
 	Homes int
-	// Wide are teams whose callers meet all routers, in plays with Processors. Those of
+	// SpreadTeams are teams whose callers meet all routers, in plays with RouterCPUs. Those of
 	// others meet one.
-	Wide []int
-	// Processors are the routers' shares of a core, for plays in which their time
+	SpreadTeams []int
+	// RouterCPUs are the routers' shares of a core, for plays in which their time
 	// counts and a team's callers all meet one router. Empty: it doesn't.
-	Processors []float64
-	// Stalls are times in which a router does nothing.
-	Stalls []Stall
-	// Lost are times in which some of the engines get no work.
-	Lost []Lost
-	// TellLoss is the part of what homes tell each other that is lost on the way, TellDelay
+	RouterCPUs []float64
+	// RouterStalls are times in which a router does nothing.
+	RouterStalls []RouterStall
+	// EngineOutages are times in which some of the engines get no work.
+	EngineOutages []EngineOutage
+	// ReportLoss is the part of what homes tell each other that is lost on the way, MaxReportDelay
 	// how long the rest takes at most.
-	TellLoss  float64
-	TellDelay time.Duration
-	// Replaced are homes that are lost, with all that they know.
-	Replaced []Replaced
+	ReportLoss     float64
+	MaxReportDelay time.Duration
+	// HomeReplacements are homes that are lost, with all that they know.
+	HomeReplacements []HomeReplacement
 }
 
-// Replaced puts a home that knows nothing in the place of another.
-type Replaced struct {
+// HomeReplacement puts a home that knows nothing in the place of another.
+type HomeReplacement struct {
 	Home int
 	At   time.Duration
 }
 
-// Lost takes the last engines out for a while.
-type Lost struct {
+// EngineOutage takes the last engines out for a while.
+type EngineOutage struct {
 	Engines  int
 	From, To time.Duration
 }
 
-// Stall holds up a router: its processor's share is used up, or its VM is paused.
-type Stall struct {
+// RouterStall holds up a router: its processor's share is used up, or its VM is paused.
+type RouterStall struct {
 	Router int
 	At     time.Duration
-	For    time.Duration
+	Length time.Duration
 }
 
-// Play plays a load under a policy. The same seed gives the same result.
-func Play(l Load, s Shape, p Policy) Result { return playWorld(l, s, p).sum() }
+// Simulate plays a load under a policy. The same seed gives the same result.
+func Simulate(l Load, s Fleet, p Policy) Result { return playWorld(l, s, p).sum() }
 
-func playWorld(l Load, s Shape, p Policy) *world {
+func playWorld(l Load, s Fleet, p Policy) *world {
 	w := &world{
 		clock: &clock{}, load: l, shape: s, byID: map[string]*engine{}, requests: map[uint64]*request{},
-		rnd: rand.New(rand.NewPCG(l.Seed, 1)), result: Result{Policy: p, ByClass: map[string]float64{}},
+		rnd: rand.New(rand.NewPCG(l.Seed, 1)), result: Result{Policy: p, WorthByClass: map[string]float64{}},
 		owed: newLedger(l.Sheet), gap: newGap(l.Sheet.Teams),
 	}
 	sheet := &l.Sheet.Engine
@@ -138,11 +138,11 @@
 		w.engines = append(w.engines, e)
 		w.byID[e.id] = e
 	}
-	for _, share := range s.Processors {
+	for _, share := range s.RouterCPUs {
 		w.routers = append(w.routers, newRouter(w.clock, share))
 	}
-	for _, stall := range s.Stalls {
-		w.clock.after(stall.At, func() { w.routers[stall.Router].stall(stall.For) })
+	for _, stall := range s.RouterStalls {
+		w.clock.after(stall.At, func() { w.routers[stall.Router].stall(stall.Length) })
 	}
 	w.decider = w.policy(p)
 	for i, a := range l.arrivals(s.Routers) {
@@ -156,13 +156,13 @@
 		w.owed.ask(r.at, r.team, w.worth(r, w.class(r).Worth), r.charge())
 		w.clock.after(a.at, func() { w.arrive(r) })
 	}
-	w.clock.run(l.Length + 20*time.Second)
+	w.clock.run(l.Duration + 20*time.Second)
 	return w
 }
 
 // meets is the router that a caller of a team meets.
 func (w *world) meets(team int) int {
-	if slices.Contains(w.shape.Wide, team) {
+	if slices.Contains(w.shape.SpreadTeams, team) {
 		return w.rnd.IntN(len(w.routers))
 	}
 	return team % len(w.routers)
@@ -260,7 +260,7 @@
 // refused ends a request, or lets its caller come back when it was told to.
 func (w *world) refused(r *request, after time.Duration) {
 	w.gap.at(w.clock.now, r.team).held = true
-	if r.tries <= w.load.Returns {
+	if r.tries <= w.load.MaxRetries {
 		w.clock.after(min(after, w.left(r)/longestReturn), func() {
 			if !r.ended {
 				w.try(r)
@@ -297,7 +297,7 @@
 		r.atEngine.cancelled = true
 	}
 	w.decider.done(r, dispatch.Cancelled, 0)
-	w.count(r, 0, &w.result.Cut)
+	w.count(r, 0, &w.result.TimedOut)
 }
 
 // count ends a request that earned so much of what its kind is worth.
@@ -305,7 +305,7 @@
 	*kind++
 	w.result.asked++
 	w.owed.earn(r.at, r.team, w.worth(r, earned))
-	w.result.ByClass[w.class(r).Name] += earned
+	w.result.WorthByClass[w.class(r).Name] += earned
 }
 
 // leftOut is how many of the largest requests users leave out when they compare teams.
@@ -315,22 +315,22 @@
 func (w *world) sum() Result {
 	res := w.result
 	n := res.asked
-	res.OnTime, res.Late, res.Refused, res.Cut = res.OnTime/n, res.Late/n, res.Refused/n, res.Cut/n
+	res.OnTime, res.Late, res.Refused, res.TimedOut = res.OnTime/n, res.Late/n, res.Refused/n, res.TimedOut/n
 	asked := make([]int, len(w.load.Sheet.Classes))
 	for _, r := range w.requests {
 		asked[r.class]++
 	}
 	for i, c := range w.load.Sheet.Classes {
-		res.ByClass[c.Name] /= float64(asked[i]) * c.Worth
+		res.WorthByClass[c.Name] /= float64(asked[i]) * c.Worth
 	}
-	res.Worth, res.SmallTeams = w.owed.all(), w.owed.small()
-	res.Owed, res.WorstTeams, res.Gap = w.owed.owed(), w.owed.worst(), w.gap.worst()
-	res.GapBeyond = w.gap.worstBeyond(leftOut)
+	res.Worth, res.SmallTeamsWorth = w.owed.all(), w.owed.small()
+	res.FairShareWorth, res.WorstTeamsWorth, res.FairnessRatio = w.owed.owed(), w.owed.worst(), w.gap.worst()
+	res.TrimmedFairnessRatio = w.gap.worstBeyond(leftOut)
 	read, reread := 0, 0
 	for _, e := range w.engines {
 		read += e.read
 		reread += e.reread
 	}
-	res.Reread = float64(reread) / float64(max(read, 1))
+	res.RedundantPrefill = float64(reread) / float64(max(read, 1))
 	return res
 }
