--- a/lab/clock.go
+++ b/lab/clock.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// clock runs events in the order of their times; equal ones as they were added.
+// clock is a virtual clock that runs events by time, and events of equal time in insertion order.
 type clock struct {
 	now    time.Duration
 	seq    int
@@ -36,13 +36,13 @@
 	return x
 }
 
-// after runs do once d has passed.
+// after schedules do to run after d.
 func (c *clock) after(d time.Duration, do func()) {
 	c.seq++
 	heap.Push(&c.events, event{at: c.now + d, seq: c.seq, do: do})
 }
 
-// run handles events until a time.
+// run executes all events up to and including until.
 func (c *clock) run(until time.Duration) {
 	for len(c.events) > 0 && c.events[0].at <= until {
 		e := heap.Pop(&c.events).(event)
--- a/lab/doc.go
+++ b/lab/doc.go
@@ -1,6 +1,5 @@
-// Package lab plays a day's requests through the real decision core over a model
-// of the engines, in virtual time and without a network. It tells what callers
-// get under a policy, beside rivals and a core without any delay, in seconds
-// instead of the minutes of a whole fleet. It is for measurement, no part of the
-// router.
+// Package lab simulates a day's requests with the real placement core and a model of the
+// engines, in virtual time and without a network. It measures what callers get under a
+// policy and compares it with baseline policies and with a core without message delay. A
+// simulation takes seconds, a run of a whole fleet minutes. Routers don't use this package.
 package lab
--- a/lab/engine.go
+++ b/lab/engine.go
@@ -7,63 +7,65 @@
 	"github.com/aspenswitch/aspenswitch/dispatch"
 )
 
-const microsInMillis = 1000
+const tokensPerK = 1000
 
-// engine batches continuously, admits first come first served and keeps prompt
-// parts, least recently used first out.
+// engine models an inference engine with continuous batching, first-come first-served
+// admission and an LRU cache of prompt parts.
 type engine struct {
 	id      string
 	clock   *clock
-	sheet   *EngineModel
+	model   *EngineModel
 	speed   float64
 	waiting []*sequence
 	running []*sequence
 	busy    bool
-	kept    map[uint64]*list.Element
-	order   list.List
-	tokens  int
-	// read counts prompt tokens read, reread those of shared parts read again.
-	read, reread int
-	peers        map[string]*engine
+	cached  map[uint64]*list.Element
+	lru     list.List
+	// tokens is the number of cached tokens.
+	tokens int
+	// prefilled counts prompt tokens prefilled, redundant those of shared parts that another
+	// engine had cached.
+	prefilled, redundant int
+	peers                map[string]*engine
 }
 
-type keptPart struct {
+type cachedPart struct {
 	id     uint64
 	tokens int
 }
 
-// sequence is a request at an engine.
+// sequence is a request submitted to an engine.
 type sequence struct {
-	parts     []dispatch.Part
-	prompt    int
-	output    int
-	unread    int
-	context   int
-	generated int
-	lastEvent time.Duration
-	pause     time.Duration
-	cancelled bool
-	first     func()
-	done      func()
+	parts        []dispatch.Part
+	prompt       int
+	outputTokens int
+	unprefilled  int
+	context      int
+	generated    int
+	lastEventAt  time.Duration
+	longestPause time.Duration
+	cancelled    bool
+	firstToken   func()
+	done         func()
 }
 
-func newEngine(id string, c *clock, sheet *EngineModel, speed float64) *engine {
-	return &engine{id: id, clock: c, sheet: sheet, speed: speed, kept: map[uint64]*list.Element{}}
+func newEngine(id string, c *clock, model *EngineModel, speed float64) *engine {
+	return &engine{id: id, clock: c, model: model, speed: speed, cached: map[uint64]*list.Element{}}
 }
 
-// submit queues a request; from, if not nil, is an engine to copy parts from.
-func (e *engine) submit(s *sequence, from *engine) {
-	if from == nil {
+// submit queues a request. If source isn't nil, cached parts are first copied from it.
+func (e *engine) submit(s *sequence, source *engine) {
+	if source == nil {
 		e.enqueue(s)
 		return
 	}
-	have, theirs := e.has(s.parts), from.has(s.parts)
-	if theirs <= have {
+	local, remote := e.cachedPrefix(s.parts), source.cachedPrefix(s.parts)
+	if remote <= local {
 		e.enqueue(s)
 		return
 	}
-	e.clock.after(time.Duration(theirs-have)*e.sheet.copyPerToken(), func() {
-		e.keep(s.parts, theirs)
+	e.clock.after(time.Duration(remote-local)*e.model.copyPerToken(), func() {
+		e.cachePrefix(s.parts, remote)
 		e.enqueue(s)
 	})
 }
@@ -75,11 +77,11 @@
 	}
 }
 
-// has is how many tokens of the prompt's start are kept.
-func (e *engine) has(parts []dispatch.Part) int {
+// cachedPrefix returns the number of leading prompt tokens in the cache.
+func (e *engine) cachedPrefix(parts []dispatch.Part) int {
 	n := 0
 	for _, p := range parts {
-		if e.kept[p.ID] == nil {
+		if e.cached[p.ID] == nil {
 			return n
 		}
 		n += p.Tokens
@@ -87,126 +89,128 @@
 	return n
 }
 
-// keep notes the first tokens of a prompt as kept and makes room.
-func (e *engine) keep(parts []dispatch.Part, tokens int) {
+// cachePrefix caches the parts within the first tokens of a prompt and evicts the least
+// recently used parts that no longer fit beside the running requests.
+func (e *engine) cachePrefix(parts []dispatch.Part, tokens int) {
 	for _, p := range parts {
 		if tokens < p.Tokens {
 			break
 		}
 		tokens -= p.Tokens
-		if el := e.kept[p.ID]; el != nil {
-			e.order.MoveToFront(el)
+		if el := e.cached[p.ID]; el != nil {
+			e.lru.MoveToFront(el)
 			continue
 		}
-		e.kept[p.ID] = e.order.PushFront(keptPart{p.ID, p.Tokens})
+		e.cached[p.ID] = e.lru.PushFront(cachedPart{p.ID, p.Tokens})
 		e.tokens += p.Tokens
 	}
-	room := e.sheet.KVTokens
+	capacity := e.model.KVTokens
 	for _, s := range e.running {
-		room -= s.unread + s.generated
+		capacity -= s.unprefilled + s.generated
 	}
-	for e.tokens > room && e.order.Len() > 0 {
-		p := e.order.Remove(e.order.Back()).(keptPart)
-		delete(e.kept, p.id)
+	for e.tokens > capacity && e.lru.Len() > 0 {
+		p := e.lru.Remove(e.lru.Back()).(cachedPart)
+		delete(e.cached, p.id)
 		e.tokens -= p.tokens
 	}
 }
 
-// admit takes waiting requests into the batch.
+// admit moves waiting requests into the batch while slots are free.
 func (e *engine) admit() {
-	for len(e.waiting) > 0 && len(e.running) < e.sheet.Slots {
+	for len(e.waiting) > 0 && len(e.running) < e.model.Slots {
 		s := e.waiting[0]
 		e.waiting = e.waiting[1:]
 		if s.cancelled {
 			continue
 		}
-		have := e.has(s.parts)
-		s.unread = max(s.prompt-have, 1)
-		s.context = have
-		e.read += s.unread
-		e.countReread(s, have)
+		hit := e.cachedPrefix(s.parts)
+		s.unprefilled = max(s.prompt-hit, 1)
+		s.context = hit
+		e.prefilled += s.unprefilled
+		e.countRedundant(s, hit)
 		e.running = append(e.running, s)
 	}
 }
 
-// countReread counts shared parts that another engine keeps.
-func (e *engine) countReread(s *sequence, have int) {
-	at := 0
+// countRedundant counts the tokens of shared parts that are prefilled here although another
+// engine has them cached.
+func (e *engine) countRedundant(s *sequence, hit int) {
+	end := 0
 	for _, p := range s.parts[:len(s.parts)-1] {
-		at += p.Tokens
-		if at <= have {
+		end += p.Tokens
+		if end <= hit {
 			continue
 		}
 		for _, other := range e.peers {
-			if other.kept[p.ID] != nil {
-				e.reread += p.Tokens
+			if other.cached[p.ID] != nil {
+				e.redundant += p.Tokens
 				break
 			}
 		}
 	}
 }
 
-// step runs one step of the batch.
+// step starts the next step of the batch.
 func (e *engine) step() {
 	e.admit()
 	e.busy = len(e.running) > 0
 	if !e.busy {
 		return
 	}
-	ms := e.sheet.StepMs + e.sheet.StepMsPerSlot*float64(len(e.running))
-	budget := e.sheet.ChunkTokens
-	reads := make([]int, len(e.running))
+	ms := e.model.StepMs + e.model.StepMsPerSlot*float64(len(e.running))
+	budget := e.model.ChunkTokens
+	chunks := make([]int, len(e.running))
 	for i, s := range e.running {
-		ms += e.sheet.ContextMsPerK * float64(s.context) / microsInMillis
-		if s.unread == 0 || budget == 0 {
+		ms += e.model.ContextMsPerK * float64(s.context) / tokensPerK
+		if s.unprefilled == 0 || budget == 0 {
 			continue
 		}
-		n := min(s.unread, budget)
+		n := min(s.unprefilled, budget)
 		budget -= n
-		reads[i] = n
-		ms += float64(n)/e.sheet.TokensPerMs + float64(n)*(float64(s.context)+float64(n)/2)*e.sheet.PairsMsPerM/1e6
+		chunks[i] = n
+		ms += float64(n)/e.model.TokensPerMs + float64(n)*(float64(s.context)+float64(n)/2)*e.model.PairsMsPerM/1e6
 	}
-	e.clock.after(time.Duration(ms*e.speed*float64(time.Millisecond)), func() { e.ended(reads) })
+	e.clock.after(time.Duration(ms*e.speed*float64(time.Millisecond)), func() { e.finishStep(chunks) })
 }
 
-// ended applies a step's work.
-func (e *engine) ended(reads []int) {
+// finishStep applies the results of a step; chunks holds the tokens prefilled per request.
+func (e *engine) finishStep(chunks []int) {
 	running := e.running
 	e.running = nil
 	for i, s := range running {
 		if s.cancelled {
 			continue
 		}
-		if s.unread > 0 {
-			s.unread -= reads[i]
-			s.context += reads[i]
-			if s.unread == 0 {
-				e.keep(s.parts, s.prompt)
-				e.token(s)
+		if s.unprefilled > 0 {
+			s.unprefilled -= chunks[i]
+			s.context += chunks[i]
+			if s.unprefilled == 0 {
+				e.cachePrefix(s.parts, s.prompt)
+				e.generateToken(s)
 			}
 		} else {
-			e.token(s)
+			e.generateToken(s)
 		}
-		if s.generated < s.output {
+		if s.generated < s.outputTokens {
 			e.running = append(e.running, s)
 		}
 	}
 	e.step()
 }
 
-// token generates one token; every few make an event of the stream.
-func (e *engine) token(s *sequence) {
+// generateToken generates one token. Every Stride tokens form an event of the stream.
+func (e *engine) generateToken(s *sequence) {
 	s.generated++
 	s.context++
 	now := e.clock.now
 	if s.generated == 1 {
-		s.lastEvent = now
-		s.first()
-	} else if s.generated%e.sheet.Stride == 0 {
-		s.pause = max(s.pause, now-s.lastEvent)
-		s.lastEvent = now
+		s.lastEventAt = now
+		s.firstToken()
+	} else if s.generated%e.model.Stride == 0 {
+		s.longestPause = max(s.longestPause, now-s.lastEventAt)
+		s.lastEventAt = now
 	}
-	if s.generated >= s.output {
+	if s.generated >= s.outputTokens {
 		s.done()
 	}
 }
--- a/lab/homes.go
+++ b/lab/homes.go
@@ -6,95 +6,96 @@
 	"github.com/aspenswitch/aspenswitch/dispatch"
 )
 
-// homes are cores that divide the engines. Sessions belong to one of them each. They tell
-// one router what teams got from them, which tells each what teams got from the others.
-type homes struct {
-	w      *world
-	all    []*cored
+// multiHomePolicy divides the engines among several homes; each session belongs to one of
+// them. Homes report the usage of teams to a ledger at one router, which replies with the
+// usage at the other homes.
+type multiHomePolicy struct {
+	sim    *simulation
+	cores  []*corePolicy
 	ledger *dispatch.Ledger
 	delay  time.Duration
 }
 
-// tellEvery is the time between two tellings of a home.
-const tellEvery = 200 * time.Millisecond
+// reportInterval is the time between two usage reports of a home.
+const reportInterval = 200 * time.Millisecond
 
-func (w *world) newHomes(delay time.Duration) *homes {
-	h := &homes{w: w, ledger: dispatch.NewLedger(dispatch.DefaultConfig(true).ShareWindow), delay: delay}
-	for i := range w.shape.Homes {
-		h.all = append(h.all, w.newCoreOf(delay, i, w.shape.Homes))
-		// Homes don't tell in step.
-		w.clock.after(tellEvery*time.Duration(i)/time.Duration(w.shape.Homes), func() { h.tell(i) })
+func (s *simulation) newMultiHomePolicy(delay time.Duration) *multiHomePolicy {
+	h := &multiHomePolicy{sim: s, ledger: dispatch.NewLedger(dispatch.DefaultConfig(true).ShareWindow), delay: delay}
+	for i := range s.fleet.Homes {
+		h.cores = append(h.cores, s.newHomePolicy(delay, i, s.fleet.Homes))
+		// Stagger the reports of the homes.
+		s.clock.after(reportInterval*time.Duration(i)/time.Duration(s.fleet.Homes), func() { h.report(i) })
 	}
-	for _, r := range w.shape.HomeReplacements {
-		w.clock.after(r.At, func() { h.replace(r.Home) })
+	for _, r := range s.fleet.HomeReplacements {
+		s.clock.after(r.At, func() { h.replace(r.Home) })
 	}
 	return h
 }
 
-// replace puts a home that knows nothing in the place of another. Routers tell it what
-// they have at its engines; what waited at the old one is asked again.
-func (h *homes) replace(home int) {
-	next := h.w.newCoreOf(h.delay, home, len(h.all))
-	old := h.all[home]
-	h.all[home] = next
-	old.over = true
-	for _, r := range h.w.inOrder() {
-		if homeOf(r, len(h.all)) != home || r.ended {
+// replace replaces a home by one without any state. Routers report their in-flight requests
+// at its engines; requests that waited at the previous home are submitted again.
+func (h *multiHomePolicy) replace(home int) {
+	replacement := h.sim.newHomePolicy(h.delay, home, len(h.cores))
+	previous := h.cores[home]
+	h.cores[home] = replacement
+	previous.replaced = true
+	for _, r := range h.sim.latestAttempts() {
+		if homeOf(r, len(h.cores)) != home || r.ended {
 			continue
 		}
-		if r.atEngine == nil {
-			if r.asks {
-				next.ask(r)
+		if r.engineSequence == nil {
+			if r.awaitsDecision {
+				replacement.submit(r)
 			}
 			continue
 		}
-		at := dispatch.Incarnation{ID: r.upstream}
-		next.core.AddInFlight(h.w.clock.now, next.question(r), at, r.first > 0)
+		engine := dispatch.Incarnation{ID: r.upstream}
+		replacement.core.AddInFlight(h.sim.clock.now, replacement.dispatchRequest(r), engine, r.firstToken > 0)
 	}
 }
 
-// after runs a function when a message between homes arrives, if it does.
-func (h *homes) after(do func()) {
-	shape := &h.w.shape
-	if shape.ReportLoss > 0 && h.w.rnd.Float64() < shape.ReportLoss {
+// after runs deliver when a message between homes arrives, unless the message is lost.
+func (h *multiHomePolicy) after(deliver func()) {
+	fleet := &h.sim.fleet
+	if fleet.ReportLoss > 0 && h.sim.rng.Float64() < fleet.ReportLoss {
 		return
 	}
 	delay := h.delay
-	if shape.MaxReportDelay > 0 {
-		delay += time.Duration(h.w.rnd.Int64N(int64(shape.MaxReportDelay)))
+	if fleet.MaxReportDelay > 0 {
+		delay += time.Duration(h.sim.rng.Int64N(int64(fleet.MaxReportDelay)))
 	}
-	h.w.clock.after(delay, do)
+	h.sim.clock.after(delay, deliver)
 }
 
-// tell sends what a home's teams got to the ledger, and takes the answer in.
-func (h *homes) tell(home int) {
-	h.w.clock.after(tellEvery, func() { h.tell(home) })
-	teller := h.all[home]
-	for _, t := range teller.core.UsageReport(h.w.clock.now) {
+// report sends the usage of a home's teams to the ledger and applies the replies.
+func (h *multiHomePolicy) report(home int) {
+	h.sim.clock.after(reportInterval, func() { h.report(home) })
+	sender := h.cores[home]
+	for _, teamUsage := range sender.core.UsageReport(h.sim.clock.now) {
 		h.after(func() {
-			h.ledger.Record(h.w.clock.now, uint64(home), t.Team, t.Usage)
-			others, ok := h.ledger.RemoteUsage(h.w.clock.now, uint64(home), t.Team)
+			h.ledger.Record(h.sim.clock.now, uint64(home), teamUsage.Team, teamUsage.Usage)
+			remote, ok := h.ledger.RemoteUsage(h.sim.clock.now, uint64(home), teamUsage.Team)
 			if !ok {
 				return
 			}
-			h.after(func() { teller.core.SetRemoteUsage(h.w.clock.now, t.Team, others) })
+			h.after(func() { sender.core.SetRemoteUsage(h.sim.clock.now, teamUsage.Team, remote) })
 		})
 	}
 }
 
-// homeOf is the home of a request's session.
-func homeOf(r *request, homes int) int {
-	if homes <= 1 {
+// homeOf returns the index of the home that owns a request's session.
+func homeOf(r *request, homeCount int) int {
+	if homeCount <= 1 {
 		return 0
 	}
-	return int(r.parts[1].ID % uint64(homes))
+	return int(r.parts[1].ID % uint64(homeCount))
 }
 
-func (h *homes) of(r *request) *cored { return h.all[homeOf(r, len(h.all))] }
+func (h *multiHomePolicy) coreFor(r *request) *corePolicy { return h.cores[homeOf(r, len(h.cores))] }
 
-func (h *homes) ask(r *request)     { h.of(r).ask(r) }
-func (h *homes) shed(r *request)    { h.of(r).shed(r) }
-func (h *homes) started(r *request) { h.of(r).started(r) }
-func (h *homes) done(r *request, o dispatch.Outcome, took time.Duration) {
-	h.of(r).done(r, o, took)
+func (h *multiHomePolicy) submit(r *request)     { h.coreFor(r).submit(r) }
+func (h *multiHomePolicy) recordShed(r *request) { h.coreFor(r).recordShed(r) }
+func (h *multiHomePolicy) started(r *request)    { h.coreFor(r).started(r) }
+func (h *multiHomePolicy) done(r *request, o dispatch.Outcome, took time.Duration) {
+	h.coreFor(r).done(r, o, took)
 }
--- a/lab/lab_test.go
+++ b/lab/lab_test.go
@@ -9,8 +9,8 @@
 	"github.com/aspenswitch/aspenswitch/lab"
 )
 
-// shape is the smaller deployment.
-var shape = lab.Fleet{Engines: 18, Routers: 6}
+// fleet is the fleet of the smaller deployment.
+var fleet = lab.Fleet{Engines: 18, Routers: 6}
 
 func calm(seed uint64) lab.Load {
 	return lab.Load{Sheet: lab.BuiltinSheet("midlands"), Scale: 0.6, Duration: 15 * time.Second, Seed: seed}
@@ -30,12 +30,12 @@
 
 var seeds = []uint64{1, 2}
 
-// mean plays a load with all seeds.
-func mean(load func(uint64) lab.Load, p lab.Policy) lab.Result {
+// meanResult returns the mean over all seeds of the fields that the tests use.
+func meanResult(load func(uint64) lab.Load, p lab.Policy) lab.Result {
 	var sum lab.Result
 	n := float64(len(seeds))
 	for _, seed := range seeds {
-		r := lab.Simulate(load(seed), shape, p)
+		r := lab.Simulate(load(seed), fleet, p)
 		sum.Worth += r.Worth / n
 		sum.SmallTeamsWorth += r.SmallTeamsWorth / n
 		sum.OnTime += r.OnTime / n
@@ -45,33 +45,33 @@
 	return sum
 }
 
-// On a calm day hardly anybody waits too long, and sessions stay where their
-// parts are cached. Without placing by what is cached a third of the reading is
-// done again (least outstanding: 0.32).
+// At low load nearly all requests meet their target, and sessions stay on the engines that
+// cache their parts. Without cache-aware placement a third of the prefill is redundant
+// (least outstanding: 0.32).
 func TestCalmDayIsServedInTime(t *testing.T) {
 	g := NewWithT(t)
-	r := mean(calm, lab.Home)
+	r := meanResult(calm, lab.Home)
 	g.Expect(r.OnTime).To(BeNumerically(">", 0.96))
 	g.Expect(r.RedundantPrefill).To(BeNumerically("<", 0.03))
-	g.Expect(mean(calm, lab.LeastOutstanding).RedundantPrefill).To(BeNumerically(">", 0.2))
+	g.Expect(meanResult(calm, lab.LeastOutstanding).RedundantPrefill).To(BeNumerically(">", 0.2))
 }
 
-// A heavy day asks for as much as the engines can read. Callers who can't be
-// served in time are refused at once; without that most are late or cut (session
-// hash, which refuses nothing: 0.44 of the worth).
+// A heavy day requests as many tokens as the engines can prefill. Callers that can't be served in
+// time are refused immediately; without that most answers are late or time out (session hash,
+// which refuses nothing: 0.44 of the worth).
 func TestHeavyDayKeepsItsWorth(t *testing.T) {
 	g := NewWithT(t)
-	home := mean(heavy, lab.Home)
+	home := meanResult(heavy, lab.Home)
 	g.Expect(home.Worth).To(BeNumerically(">", 0.8))
 	g.Expect(home.TimedOut).To(BeNumerically("<", 0.05))
-	g.Expect(home.Worth).To(BeNumerically(">", 1.6*mean(heavy, lab.SessionHash).Worth))
-	g.Expect(home.Worth).To(BeNumerically(">", 3*mean(heavy, lab.LeastOutstanding).Worth))
+	g.Expect(home.Worth).To(BeNumerically(">", 1.6*meanResult(heavy, lab.SessionHash).Worth))
+	g.Expect(home.Worth).To(BeNumerically(">", 3*meanResult(heavy, lab.LeastOutstanding).Worth))
 }
 
-// Long narratives are worth most, and the engines read in large chunks. On a heavy day
-// one answer in twenty was cut at the end of its time while its engine was kept full of
-// prompts (0.040 to 0.053 over four seeds; 0.90 to 0.93 of what teams were owed was
-// served). Engines rest for their streams: 0.012 to 0.019, and 0.95 to 0.97.
+// Guards against prefill that starves running streams: with long narratives of the highest worth
+// and large prefill chunks, one answer in twenty timed out on a heavy day (0.040 to 0.053 over four
+// seeds; 0.90 to 0.93 of the fair-share worth earned). With prefill throttled for running streams:
+// 0.012 to 0.019, and 0.95 to 0.97.
 func TestLongAnswersEndOnAHeavyDay(t *testing.T) {
 	g := NewWithT(t)
 	sheet := lab.BuiltinSheet("cooling")
@@ -83,34 +83,33 @@
 	}
 }
 
-// One team asks for seven times its usual. The smaller half of the teams hardly
-// feels it.
+// One team requests seven times its base load; the smaller half of the teams must keep
+// nearly all of its worth.
 func TestFloodOfOneTeamSparesTheSmallOnes(t *testing.T) {
 	g := NewWithT(t)
-	home := mean(flood, lab.Home)
+	home := meanResult(flood, lab.Home)
 	g.Expect(home.SmallTeamsWorth).To(BeNumerically(">", 0.85))
-	g.Expect(home.SmallTeamsWorth).To(BeNumerically(">", 2*mean(flood, lab.SessionHash).SmallTeamsWorth))
+	g.Expect(home.SmallTeamsWorth).To(BeNumerically(">", 2*meanResult(flood, lab.SessionHash).SmallTeamsWorth))
 }
 
-// Asking a home over the network costs little against a core without any delay.
+// The network delay to the home must cost little against a core without delay.
 func TestDelayCostsLittle(t *testing.T) {
 	g := NewWithT(t)
 	for name, load := range map[string]func(uint64) lab.Load{"calm": calm, "heavy": heavy, "flood": flood} {
-		ratio := mean(load, lab.Home).Worth / mean(load, lab.Omniscient).Worth
+		ratio := meanResult(load, lab.Home).Worth / meanResult(load, lab.Omniscient).Worth
 		g.Expect(ratio).To(BeNumerically(">", 0.95), name)
 	}
 }
 
-// The same seed plays the same day.
-func TestPlaysRepeat(t *testing.T) {
+// The same seed must give the same result.
+func TestSimulationsRepeat(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(lab.Simulate(heavy(3), shape, lab.Home)).To(Equal(lab.Simulate(heavy(3), shape, lab.Home)))
+	g.Expect(lab.Simulate(heavy(3), fleet, lab.Home)).To(Equal(lab.Simulate(heavy(3), fleet, lab.Home)))
 }
 
-// The largest team alone asks for more than the engines give, two smaller ones flood
-// in turn, and callers who are refused come back. What is owed is served, small
-// teams get theirs, and no team that waits gets less than half of what another got
-// (over six seconds, second by second).
+// The largest team alone requests more than the engines can serve, two smaller ones flood in turn,
+// and refused callers retry. Fair shares must be served, small teams keep their worth, and no
+// waiting team may get less than half of another's service (over six seconds, by second).
 func TestFloodsOfTheGrownDeploymentAreSharedOut(t *testing.T) {
 	g := NewWithT(t)
 	for _, seed := range seeds {
--- a/lab/ledger.go
+++ b/lab/ledger.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// ledgerWindow is the span over which users reckon shares.
+// ledgerWindow is the window over which users compute shares.
 const ledgerWindow = 4 * time.Second
 
-// ledger keeps what teams asked for, were owed and earned, by window and team.
+// ledger records requests and earned worth by window and team.
 type ledger struct {
 	sheet   *Sheet
 	windows []map[int]*entry
 }
 
 type entry struct {
-	// offered and earned are worth, asked is in tokens.
-	offered, earned, asked float64
+	// offered and earned are in units of worth, requested is in charged tokens.
+	offered, earned, requested float64
 }
 
 func newLedger(s *Sheet) *ledger { return &ledger{sheet: s} }
@@ -35,51 +35,54 @@
 	return e
 }
 
-func (l *ledger) ask(at time.Duration, team int, worth, tokens float64) {
+func (l *ledger) recordRequest(at time.Duration, team int, worth, tokens float64) {
 	e := l.entry(at, team)
 	e.offered += worth
-	e.asked += tokens
+	e.requested += tokens
 }
 
-func (l *ledger) earn(at time.Duration, team int, worth float64) { l.entry(at, team).earned += worth }
+func (l *ledger) recordEarned(at time.Duration, team int, worth float64) {
+	l.entry(at, team).earned += worth
+}
 
-// level is the max-min share of a window: teams that ask for less get all.
-func (l *ledger) level(window map[int]*entry) float64 {
-	left := l.sheet.TokensPerSecond * ledgerWindow.Seconds()
-	asked := make([]float64, 0, len(window))
+// maxMinShare returns the max-min fair share of a window in tokens. Teams that request
+// less get all that they request.
+func (l *ledger) maxMinShare(window map[int]*entry) float64 {
+	remaining := l.sheet.TokensPerSecond * ledgerWindow.Seconds()
+	requested := make([]float64, 0, len(window))
 	for _, e := range window {
-		asked = append(asked, e.asked)
+		requested = append(requested, e.requested)
 	}
-	slices.Sort(asked)
-	for i, want := range asked {
-		share := left / float64(len(asked)-i)
-		if want > share {
+	slices.Sort(requested)
+	for i, demand := range requested {
+		share := remaining / float64(len(requested)-i)
+		if demand > share {
 			return share
 		}
-		left -= want
+		remaining -= demand
 	}
-	return left + 1e18
+	return remaining + 1e18
 }
 
-// sums adds up what each team was owed and earned of it.
-func (l *ledger) sums() (owed, earned []float64) {
-	owed, earned = make([]float64, l.sheet.Teams), make([]float64, l.sheet.Teams)
+// fairShareTotals returns, by team, the worth within its fair share and the part of it that was earned.
+func (l *ledger) fairShareTotals() (fairShares, earned []float64) {
+	fairShares, earned = make([]float64, l.sheet.Teams), make([]float64, l.sheet.Teams)
 	for _, window := range l.windows {
-		level := l.level(window)
+		maxMinShare := l.maxMinShare(window)
 		for team, e := range window {
-			due := e.offered * min(1, level/max(e.asked, 1))
-			owed[team] += due
-			earned[team] += min(e.earned, due)
+			fairShare := e.offered * min(1, maxMinShare/max(e.requested, 1))
+			fairShares[team] += fairShare
+			earned[team] += min(e.earned, fairShare)
 		}
 	}
-	return owed, earned
+	return fairShares, earned
 }
 
-// all is what was earned of all that was offered.
-func (l *ledger) all() float64 {
+// totalRatio returns earned worth divided by offered worth.
+func (l *ledger) totalRatio() float64 {
 	earned, offered := 0.0, 0.0
 	for _, window := range l.windows {
-		// Sums of floats depend on the order; teams come in theirs.
+		// The sum of floats depends on their order, so teams are added by index.
 		for team := range l.sheet.Teams {
 			if e := window[team]; e != nil {
 				earned += e.earned
@@ -90,8 +93,8 @@
 	return earned / offered
 }
 
-// small is the worth that the smaller half of the teams got.
-func (l *ledger) small() float64 {
+// smallTeamsRatio returns the earned fraction of the worth that the smaller half of the teams offered.
+func (l *ledger) smallTeamsRatio() float64 {
 	earned, offered := make([]float64, l.sheet.Teams), make([]float64, l.sheet.Teams)
 	for _, window := range l.windows {
 		for team, e := range window {
@@ -99,40 +102,40 @@
 			offered[team] += e.offered
 		}
 	}
-	order := ranks(l.sheet.Teams, func(a, b int) int { return cmp.Compare(offered[a], offered[b]) })
-	return part(order[:l.sheet.Teams/2], earned, offered)
+	order := sortedTeams(l.sheet.Teams, func(a, b int) int { return cmp.Compare(offered[a], offered[b]) })
+	return earnedRatio(order[:l.sheet.Teams/2], earned, offered)
 }
 
-// owed is what was earned of what was owed.
-func (l *ledger) owed() float64 {
-	owed, earned := l.sums()
-	return part(ranks(l.sheet.Teams, func(a, b int) int { return a - b }), earned, owed)
+// earnings returns the earned fraction of the worth within the teams' fair shares.
+func (l *ledger) earnings() float64 {
+	fairShares, earned := l.fairShareTotals()
+	return earnedRatio(sortedTeams(l.sheet.Teams, func(a, b int) int { return a - b }), earned, fairShares)
 }
 
-// worst is the same for the tenth of the teams that got least.
-func (l *ledger) worst() float64 {
-	owed, earned := l.sums()
-	order := ranks(l.sheet.Teams, func(a, b int) int {
-		return cmp.Compare(earned[a]/max(owed[a], 1), earned[b]/max(owed[b], 1))
+// worstRatio is earnings for the tenth of the teams with the lowest fraction.
+func (l *ledger) worstRatio() float64 {
+	fairShares, earned := l.fairShareTotals()
+	order := sortedTeams(l.sheet.Teams, func(a, b int) int {
+		return cmp.Compare(earned[a]/max(fairShares[a], 1), earned[b]/max(fairShares[b], 1))
 	})
-	return part(order[:max(l.sheet.Teams/10, 1)], earned, owed)
+	return earnedRatio(order[:max(l.sheet.Teams/10, 1)], earned, fairShares)
 }
 
-// ranks returns teams in an order.
-func ranks(teams int, less func(a, b int) int) []int {
+// sortedTeams returns the team indices sorted by compare.
+func sortedTeams(teams int, compare func(a, b int) int) []int {
 	order := make([]int, teams)
 	for i := range order {
 		order[i] = i
 	}
-	slices.SortStableFunc(order, less)
+	slices.SortStableFunc(order, compare)
 	return order
 }
 
-func part(teams []int, earned, due []float64) float64 {
-	e, d := 0.0, 0.0
+func earnedRatio(teams []int, earned, base []float64) float64 {
+	earnedSum, baseSum := 0.0, 0.0
 	for _, t := range teams {
-		e += earned[t]
-		d += due[t]
+		earnedSum += earned[t]
+		baseSum += base[t]
 	}
-	return e / max(d, 1)
+	return earnedSum / max(baseSum, 1)
 }
--- a/lab/load.go
+++ b/lab/load.go
@@ -6,39 +6,39 @@
 	"time"
 )
 
-// Surge is a span in which one team asks for a multiple of its usual.
+// Surge is a period in which one team requests a multiple of its base rate.
 type Surge struct {
-	// Team is the rank by size, 0 the largest.
+	// Team is the rank by size; 0 is the largest.
 	Team     int
 	Factor   float64
 	From, To time.Duration
 }
 
-// Load is a day's shape.
+// Load describes the requests of one simulation.
 type Load struct {
 	Sheet *Sheet
-	// Scale multiplies the rates.
+	// Scale multiplies all request rates.
 	Scale    float64
 	Surges   []Surge
 	Duration time.Duration
 	Seed     uint64
-	// MaxRetries is how often a caller that was refused comes back.
+	// MaxRetries is how often a refused caller retries.
 	MaxRetries int
 }
 
 // arrival is one request of a load.
 type arrival struct {
-	at      time.Duration
-	class   int
-	team    int
-	session int
-	own     int
-	output  int
-	router  int
+	at           time.Duration
+	class        int
+	team         int
+	session      int
+	ownTokens    int
+	outputTokens int
+	router       int
 }
 
-// arrivals draws the requests of a load for a number of routers. A team's
-// callers reach mostly one router, as they do behind a balancer that hashes.
+// arrivals draws the requests of a load for a number of routers. A team's callers use at
+// most two routers, as they would behind a load balancer that hashes.
 func (l Load) arrivals(routers int) []arrival {
 	rnd := rand.New(rand.NewPCG(l.Seed, l.Seed))
 	weights := make([]float64, l.Sheet.Teams)
@@ -52,16 +52,16 @@
 		for team, w := range weights {
 			rate := class.PerSecond * l.Scale * w / total
 			for at := time.Duration(0); at < l.Duration; {
-				wait := gap(rnd, l.rate(rate, team, at))
-				at += min(wait, longestGap)
-				if wait > longestGap {
+				interval := nextInterval(rnd, l.rate(rate, team, at))
+				at += min(interval, maxDrawInterval)
+				if interval > maxDrawInterval {
 					continue
 				}
 				out = append(out, arrival{
 					at: at, class: c, team: team, session: rnd.IntN(class.Sessions),
-					own:    1 + int(lognormal(rnd, class.OwnTokens, 1)),
-					output: 1 + int(min(lognormal(rnd, class.OutputTokens, 0.7), float64(class.MaxOutput))),
-					router: (team + rnd.IntN(2)) % routers,
+					ownTokens:    1 + int(lognormal(rnd, class.OwnTokens, 1)),
+					outputTokens: 1 + int(min(lognormal(rnd, class.OutputTokens, 0.7), float64(class.MaxOutput))),
+					router:       (team + rnd.IntN(2)) % routers,
 				})
 			}
 		}
@@ -69,24 +69,24 @@
 	return out
 }
 
-func (l Load) rate(usual float64, team int, at time.Duration) float64 {
-	for _, h := range l.Surges {
-		if team == h.Team && at >= h.From && at < h.To {
-			usual *= h.Factor
+func (l Load) rate(base float64, team int, at time.Duration) float64 {
+	for _, surge := range l.Surges {
+		if team == surge.Team && at >= surge.From && at < surge.To {
+			base *= surge.Factor
 		}
 	}
-	return usual
+	return base
 }
 
-// longestGap is how far a draw looks ahead: rates change meanwhile. As arrivals
-// have no memory, drawing anew from there changes nothing.
-const longestGap = 200 * time.Millisecond
+// maxDrawInterval bounds how far one draw looks ahead, as rates change over time. Arrivals are
+// memoryless, so drawing again from that point doesn't change the distribution.
+const maxDrawInterval = 200 * time.Millisecond
 
-func gap(rnd *rand.Rand, rate float64) time.Duration {
+func nextInterval(rnd *rand.Rand, rate float64) time.Duration {
 	return time.Duration(rnd.ExpFloat64() / rate * float64(time.Second))
 }
 
-// lognormal draws with a mean and a spread of the logarithm.
+// lognormal draws a value with the given mean; spread is the standard deviation of its logarithm.
 func lognormal(rnd *rand.Rand, mean, spread float64) float64 {
 	return mean * math.Exp(spread*rnd.NormFloat64()-spread*spread/2)
 }
--- a/lab/policy.go
+++ b/lab/policy.go
@@ -10,215 +10,220 @@
 	"github.com/aspenswitch/aspenswitch/dispatch"
 )
 
-// policy decides where requests go. It calls send or refuse once for each.
-type policy interface {
-	ask(r *request)
-	// shed is told of an attempt that a router refused without asking.
-	shed(r *request)
+// placementPolicy decides where requests are sent. It passes its decisions to
+// applyDecision: one send or refusal per attempt.
+type placementPolicy interface {
+	submit(r *request)
+	// recordShed records an attempt that a router refused without asking the policy.
+	recordShed(r *request)
 	started(r *request)
 	done(r *request, o dispatch.Outcome, took time.Duration)
 }
 
-// Policy names one.
+// Policy is the name of a placement policy.
 type Policy string
 
-// Policies to compare.
+// Policies that can be compared.
 const (
-	// Home is the fleet's: a core that is asked and told over the network.
+	// Home is the policy of the fleet: a core at a home, with network delay both ways.
 	Home Policy = "home"
-	// Omniscient is the same core without any delay, told of starts at once.
+	// Omniscient is the same core without delay, notified of starts immediately.
 	Omniscient Policy = "omniscient"
-	// Random takes any engine and refuses nothing.
+	// Random picks a random engine and refuses nothing.
 	Random Policy = "random"
-	// LeastOutstanding takes the engine to which the own router has least outstanding.
+	// LeastOutstanding picks the engine with the fewest outstanding requests of the receiving router.
 	LeastOutstanding Policy = "least outstanding"
-	// SessionHash hashes a session to an engine and refuses nothing.
+	// SessionHash picks the engine by a hash of the session and refuses nothing.
 	SessionHash Policy = "session hash"
 )
 
-// Policies returns all, the rivals first.
+// Policies returns all policies, the baselines first.
 func Policies() []Policy { return []Policy{Random, LeastOutstanding, SessionHash, Home, Omniscient} }
 
-// oneWay is the time of a message between routers of different failure domains.
-const oneWay = 500 * time.Microsecond
+// oneWayDelay is the delay of a message between routers in different failure domains.
+const oneWayDelay = 500 * time.Microsecond
 
-func (w *world) policy(p Policy) policy {
+func (s *simulation) newPolicy(p Policy) placementPolicy {
 	switch p {
 	case Home:
-		if w.shape.Homes > 1 {
-			return w.newHomes(oneWay)
+		if s.fleet.Homes > 1 {
+			return s.newMultiHomePolicy(oneWayDelay)
 		}
-		return w.newCore(oneWay)
+		return s.newCorePolicy(oneWayDelay)
 	case Omniscient:
-		return w.newCore(0)
+		return s.newCorePolicy(0)
 	case Random:
-		return &blind{w: w, pick: func(*request) int { return w.rnd.IntN(len(w.engines)) }}
+		return &statelessPolicy{sim: s, pickEngine: func(*request) int { return s.rng.IntN(len(s.engines)) }}
 	case SessionHash:
-		return &blind{w: w, pick: func(r *request) int {
-			return int(xxhash.Sum64String(strconv.FormatUint(r.parts[1].ID, 16)) % uint64(len(w.engines)))
+		return &statelessPolicy{sim: s, pickEngine: func(r *request) int {
+			return int(xxhash.Sum64String(strconv.FormatUint(r.parts[1].ID, 16)) % uint64(len(s.engines)))
 		}}
 	}
-	return newLeast(w)
+	return newLeastOutstanding(s)
 }
 
-// cored asks a core at a distance.
-type cored struct {
-	w     *world
+// corePolicy uses a dispatch core that messages reach after a delay.
+type corePolicy struct {
+	sim   *simulation
 	core  *dispatch.Core
 	delay time.Duration
-	// index and homes tell which of the engines are the core's.
-	index, homes int
-	// over is set once another core is in its place.
-	over bool
+	// homeIndex and homeCount determine which engines belong to the core.
+	homeIndex, homeCount int
+	// replaced is set once another core has replaced this one.
+	replaced bool
 }
 
-func (w *world) newCore(delay time.Duration) *cored { return w.newCoreOf(delay, 0, 1) }
+func (s *simulation) newCorePolicy(delay time.Duration) *corePolicy {
+	return s.newHomePolicy(delay, 0, 1)
+}
 
-// newCoreOf returns one of several homes, which divide the engines.
-func (w *world) newCoreOf(delay time.Duration, index, homes int) *cored {
-	c := &cored{w: w, core: dispatch.New(dispatch.DefaultConfig(true)), delay: delay, index: index, homes: homes}
+// newHomePolicy returns the policy of one of several homes that divide the engines.
+func (s *simulation) newHomePolicy(delay time.Duration, homeIndex, homeCount int) *corePolicy {
+	c := &corePolicy{sim: s, core: dispatch.New(dispatch.DefaultConfig(true)), delay: delay, homeIndex: homeIndex, homeCount: homeCount}
 	c.setEngines(0)
-	c.lose(w.shape.EngineOutages)
+	c.scheduleOutages(s.fleet.EngineOutages)
 	c.tick()
 	return c
 }
 
-// setEngines tells the core which engines there are: all but the last few.
-func (c *cored) setEngines(lost int) {
-	engine := &c.w.load.Sheet.Engine
+// setEngines sets the core's members to its engines, without the last unavailable ones.
+func (c *corePolicy) setEngines(unavailable int) {
+	engine := &c.sim.load.Sheet.Engine
 	var members []dispatch.Member
-	for i, e := range c.w.engines[:len(c.w.engines)-lost] {
-		if i%c.homes != c.index {
+	for i, e := range c.sim.engines[:len(c.sim.engines)-unavailable] {
+		if i%c.homeCount != c.homeIndex {
 			continue
 		}
 		members = append(members, dispatch.Member{Incarnation: dispatch.Incarnation{ID: e.id}, Slots: engine.Slots, KVTokens: engine.KVTokens, CopyPerToken: engine.copyPerToken()})
 	}
-	c.core.SetCapacity(c.w.load.Sheet.TokensPerSecond * float64(len(members)) / float64(c.w.load.Sheet.Engines))
-	c.deliver(c.core.SetMembers(c.w.clock.now, members))
+	c.core.SetCapacity(c.sim.load.Sheet.TokensPerSecond * float64(len(members)) / float64(c.sim.load.Sheet.Engines))
+	c.deliver(c.core.SetMembers(c.sim.clock.now, members))
 }
 
-// lose plays the times in which engines are lost.
-func (c *cored) lose(all []EngineOutage) {
-	for _, l := range all {
-		c.w.clock.after(l.From, func() { c.setEngines(l.Engines) })
-		c.w.clock.after(l.To, func() { c.setEngines(0) })
+// scheduleOutages schedules the periods in which engines are unavailable.
+func (c *corePolicy) scheduleOutages(outages []EngineOutage) {
+	for _, outage := range outages {
+		c.sim.clock.after(outage.From, func() { c.setEngines(outage.Engines) })
+		c.sim.clock.after(outage.To, func() { c.setEngines(0) })
 	}
 }
 
-func (c *cored) tick() {
-	c.w.clock.after(10*time.Millisecond, func() {
-		if c.over {
+func (c *corePolicy) tick() {
+	c.sim.clock.after(10*time.Millisecond, func() {
+		if c.replaced {
 			return
 		}
-		c.deliver(c.core.Tick(c.w.clock.now))
+		c.deliver(c.core.Tick(c.sim.clock.now))
 		c.tick()
 	})
 }
 
-func (c *cored) deliver(ds []dispatch.Decision) {
-	if c.over {
+func (c *corePolicy) deliver(ds []dispatch.Decision) {
+	if c.replaced {
 		return
 	}
 	for _, d := range ds {
-		r := c.w.requests[d.Ticket.Seq]
-		c.w.clock.after(c.delay, func() { c.reply(r, d) })
+		r := c.sim.requests[d.Ticket.Seq]
+		c.sim.clock.after(c.delay, func() { c.reply(r, d) })
 	}
 }
 
-// reply brings a decision to the request's router.
-func (c *cored) reply(r *request, d dispatch.Decision) {
-	if len(c.w.routers) > 0 {
-		c.w.replied(r, d)
+// reply delivers a decision to the request's router.
+func (c *corePolicy) reply(r *request, d dispatch.Decision) {
+	if len(c.sim.routers) > 0 {
+		c.sim.receiveDecision(r, d)
 		return
 	}
-	c.w.decided(r, d)
+	c.sim.applyDecision(r, d)
 }
 
-// ticket names an attempt; the router's number is one above its index.
-func (c *cored) ticket(r *request) dispatch.Ticket {
+// ticket identifies an attempt; the router number is its index plus one.
+func (c *corePolicy) ticket(r *request) dispatch.Ticket {
 	return dispatch.Ticket{Router: uint64(r.router) + 1, Seq: r.seq}
 }
 
-// question is what the core is asked.
-func (c *cored) question(r *request) dispatch.Request {
-	target := c.w.class(r).target()
-	if len(c.w.routers) > 0 {
-		target -= c.w.clock.now - r.triedAt
+// dispatchRequest returns the request that is submitted to the core.
+func (c *corePolicy) dispatchRequest(r *request) dispatch.Request {
+	target := c.sim.class(r).target()
+	if len(c.sim.routers) > 0 {
+		target -= c.sim.clock.now - r.attemptAt
 	}
 	return dispatch.Request{
-		Ticket: c.ticket(r), Team: strconv.Itoa(r.team), Prompt: r.prompt(), Output: r.hint,
-		Parts: r.parts, Target: target, Timeout: c.w.left(r),
+		Ticket: c.ticket(r), Team: strconv.Itoa(r.team), Prompt: r.prompt(), Output: r.outputHint,
+		Parts: r.parts, Target: target, Timeout: c.sim.remaining(r),
 	}
 }
 
-func (c *cored) ask(r *request) {
-	r.asks = true
-	ask := c.question(r)
-	c.w.clock.after(c.delay, func() { c.deliver(c.core.Submit(c.w.clock.now, ask)) })
+func (c *corePolicy) submit(r *request) {
+	r.awaitsDecision = true
+	query := c.dispatchRequest(r)
+	c.sim.clock.after(c.delay, func() { c.deliver(c.core.Submit(c.sim.clock.now, query)) })
 }
 
-func (c *cored) shed(r *request) {
-	q := c.question(r)
-	f, ok := dispatch.FingerprintOf(&q)
+func (c *corePolicy) recordShed(r *request) {
+	query := c.dispatchRequest(r)
+	fingerprint, ok := dispatch.FingerprintOf(&query)
 	if !ok {
 		return
 	}
-	at := c.w.clock.now
-	c.w.clock.after(c.delay, func() {
-		c.core.RecordShed(c.w.clock.now, q.Ticket.Router, q.Team, dispatch.ChargedTokens(&q), []dispatch.ShedRequest{{Fingerprint: f, Age: c.w.clock.now - at, Timeout: q.Timeout}})
+	shedAt := c.sim.clock.now
+	c.sim.clock.after(c.delay, func() {
+		c.core.RecordShed(c.sim.clock.now, query.Ticket.Router, query.Team, dispatch.ChargedTokens(&query), []dispatch.ShedRequest{{Fingerprint: fingerprint, Age: c.sim.clock.now - shedAt, Timeout: query.Timeout}})
 	})
 }
 
-func (c *cored) started(r *request) {
-	c.w.clock.after(c.delay, func() { c.deliver(c.core.Started(c.w.clock.now, c.ticket(r))) })
+func (c *corePolicy) started(r *request) {
+	c.sim.clock.after(c.delay, func() { c.deliver(c.core.Started(c.sim.clock.now, c.ticket(r))) })
 }
 
-func (c *cored) done(r *request, o dispatch.Outcome, took time.Duration) {
-	c.w.clock.after(c.delay, func() { c.deliver(c.core.Done(c.w.clock.now, c.ticket(r), o, took)) })
+func (c *corePolicy) done(r *request, o dispatch.Outcome, took time.Duration) {
+	c.sim.clock.after(c.delay, func() { c.deliver(c.core.Done(c.sim.clock.now, c.ticket(r), o, took)) })
 }
 
-// blind sends at once and never refuses.
-type blind struct {
-	w    *world
-	pick func(*request) int
+// statelessPolicy sends each request immediately and never refuses.
+type statelessPolicy struct {
+	sim        *simulation
+	pickEngine func(*request) int
 }
 
-func (b *blind) ask(r *request) {
-	b.w.decided(r, dispatch.Decision{Verdict: dispatch.Send, Upstream: b.w.engines[b.pick(r)].id})
+func (p *statelessPolicy) submit(r *request) {
+	p.sim.applyDecision(r, dispatch.Decision{Verdict: dispatch.Send, Upstream: p.sim.engines[p.pickEngine(r)].id})
 }
-func (b *blind) shed(*request)                                  {}
-func (b *blind) started(*request)                               {}
-func (b *blind) done(*request, dispatch.Outcome, time.Duration) {}
+func (p *statelessPolicy) recordShed(*request)                            {}
+func (p *statelessPolicy) started(*request)                               {}
+func (p *statelessPolicy) done(*request, dispatch.Outcome, time.Duration) {}
 
-// least knows only what its own router has sent.
-type least struct {
-	w           *world
+// leastOutstanding counts outstanding requests per router and engine; routers don't share their counts.
+type leastOutstanding struct {
+	sim         *simulation
 	outstanding map[int][]int
 }
 
-func newLeast(w *world) *least { return &least{w: w, outstanding: map[int][]int{}} }
+func newLeastOutstanding(sim *simulation) *leastOutstanding {
+	return &leastOutstanding{sim: sim, outstanding: map[int][]int{}}
+}
 
-func (l *least) ask(r *request) {
-	own := l.outstanding[r.router]
-	if own == nil {
-		own = make([]int, len(l.w.engines))
-		l.outstanding[r.router] = own
+func (l *leastOutstanding) submit(r *request) {
+	counts := l.outstanding[r.router]
+	if counts == nil {
+		counts = make([]int, len(l.sim.engines))
+		l.outstanding[r.router] = counts
 	}
-	best := rand.New(rand.NewPCG(r.seq, r.seq)).IntN(len(own))
-	for i := range own {
-		if own[i] < own[best] {
+	best := rand.New(rand.NewPCG(r.seq, r.seq)).IntN(len(counts))
+	for i := range counts {
+		if counts[i] < counts[best] {
 			best = i
 		}
 	}
-	own[best]++
-	r.local = best
-	l.w.decided(r, dispatch.Decision{Verdict: dispatch.Send, Upstream: l.w.engines[best].id})
+	counts[best]++
+	r.engineIndex = best
+	l.sim.applyDecision(r, dispatch.Decision{Verdict: dispatch.Send, Upstream: l.sim.engines[best].id})
 }
 
-func (l *least) shed(*request) {}
+func (l *leastOutstanding) recordShed(*request) {}
 
-func (l *least) started(*request) {}
+func (l *leastOutstanding) started(*request) {}
 
-func (l *least) done(r *request, _ dispatch.Outcome, _ time.Duration) {
-	l.outstanding[r.router][r.local]--
+func (l *leastOutstanding) done(r *request, _ dispatch.Outcome, _ time.Duration) {
+	l.outstanding[r.router][r.engineIndex]--
 }
--- a/lab/router.go
+++ b/lab/router.go
@@ -8,102 +8,102 @@
 	"github.com/aspenswitch/aspenswitch/limits"
 )
 
-// What a router's processor spends on a request, measured on routers under a flood: 50
-// microseconds for one that is refused without asking, three times that for one that a
-// home refuses, 300 for a stream that is served.
+// CPU time that a router spends on a request. Under a flood it is 50 microseconds for a
+// request that the router sheds, three times that for one that a home refuses, and 300 for
+// a stream that is served.
 const (
-	readTime   = 30 * time.Microsecond
-	refuseTime = 20 * time.Microsecond
-	askTime    = 50 * time.Microsecond
-	answerTime = 50 * time.Microsecond
-	streamTime = 170 * time.Microsecond
+	parseCPU    = 30 * time.Microsecond
+	refuseCPU   = 20 * time.Microsecond
+	submitCPU   = 50 * time.Microsecond
+	decisionCPU = 50 * time.Microsecond
+	streamCPU   = 170 * time.Microsecond
 )
 
 const (
-	// lagKeep is the weight of the past in a router's average lag.
-	lagKeep = 0.9
-	// routerTick is the time between two ticks of a router's timer.
-	routerTick = 10 * time.Millisecond
+	// lagDecay is the weight of the previous average in a router's moving average of the lag.
+	lagDecay = 0.9
+	// routerTickInterval is the interval of a router's timer.
+	routerTickInterval = 10 * time.Millisecond
 )
 
-// router takes callers' requests. Its processor does one thing after the other.
+// router models a router's CPU, which runs one task at a time.
 type router struct {
 	clock *clock
-	// share is the part of a core that it has.
-	share float64
-	// freeAt is when the processor has done what came so far.
-	freeAt  time.Duration
+	// cpuShare is the router's CPU in cores.
+	cpuShare float64
+	// idleAt is when the CPU finishes all tasks queued so far.
+	idleAt  time.Duration
 	lag     time.Duration
 	shedder *limits.Shedder
 }
 
-func newRouter(c *clock, share float64) *router {
-	r := &router{clock: c, share: share, shedder: limits.NewShedder(limits.DefaultShedConfig())}
+func newRouter(c *clock, cpuShare float64) *router {
+	r := &router{clock: c, cpuShare: cpuShare, shedder: limits.NewShedder(limits.DefaultShedConfig())}
 	r.tick()
 	return r
 }
 
 func (r *router) tick() {
-	r.noteLag(0)
-	r.clock.after(routerTick, r.tick)
+	r.recordLag(0)
+	r.clock.after(routerTickInterval, r.tick)
 }
 
-// work does something once the processor has time.
+// work runs do after cost of CPU time, once the tasks queued before are finished.
 func (r *router) work(cost time.Duration, do func()) {
-	r.freeAt = max(r.freeAt, r.clock.now) + time.Duration(float64(cost)/r.share)
-	r.clock.after(r.freeAt-r.clock.now, do)
+	r.idleAt = max(r.idleAt, r.clock.now) + time.Duration(float64(cost)/r.cpuShare)
+	r.clock.after(r.idleAt-r.clock.now, do)
 }
 
-// stall keeps the processor from all work for a while.
-func (r *router) stall(d time.Duration) { r.freeAt = max(r.freeAt, r.clock.now) + d }
+// stall blocks the CPU for d.
+func (r *router) stall(d time.Duration) { r.idleAt = max(r.idleAt, r.clock.now) + d }
 
-func (r *router) noteLag(waited time.Duration) {
-	r.lag = time.Duration(lagKeep*float64(r.lag) + (1-lagKeep)*float64(waited))
+func (r *router) recordLag(waited time.Duration) {
+	r.lag = time.Duration(lagDecay*float64(r.lag) + (1-lagDecay)*float64(waited))
 }
 
-// share names what the request's home decides on by its team's share.
-func (w *world) share(r *request) limits.ShareKey {
-	return limits.ShareKey{Group: homeOf(r, w.shape.Homes), Team: strconv.Itoa(r.team)}
+// shareKey returns the key under which the request's home decides on its team's share.
+func (s *simulation) shareKey(r *request) limits.ShareKey {
+	return limits.ShareKey{Group: homeOf(r, s.fleet.Homes), Team: strconv.Itoa(r.team)}
 }
 
-// shedRetry is the least time that callers are told to wait.
-const shedRetry = 100 * time.Millisecond
+// minShedRetryAfter is the minimum retry delay sent with a shed request.
+const minShedRetryAfter = 100 * time.Millisecond
 
-// receive takes an attempt from its caller.
-func (w *world) receive(q *request) {
-	r := w.routers[q.router]
-	r.work(readTime, func() { w.admit(r, q) })
+// receive handles an attempt from a caller.
+func (s *simulation) receive(req *request) {
+	r := s.routers[req.router]
+	r.work(parseCPU, func() { s.admit(r, req) })
 }
 
-// admit asks the policy, or refuses without asking.
-func (w *world) admit(r *router, q *request) {
-	if q.ended {
+// admit sheds the attempt or submits it to the policy.
+func (s *simulation) admit(r *router, req *request) {
+	if req.ended {
 		return
 	}
-	verdict := r.shedder.Check(w.clock.now, limits.Arrival{Share: w.share(q), Tokens: q.charge(), Streaming: true, Lag: r.lag})
+	verdict := r.shedder.Check(s.clock.now, limits.Arrival{Share: s.shareKey(req), Tokens: req.charge(), Streaming: true, Lag: r.lag})
 	if verdict.Reason != limits.NotShed {
-		w.decider.shed(q)
-		r.work(refuseTime, func() { w.refused(q, max(verdict.RetryAfter, shedRetry)) })
+		s.policy.recordShed(req)
+		r.work(refuseCPU, func() { s.refused(req, max(verdict.RetryAfter, minShedRetryAfter)) })
 		return
 	}
-	posted := w.clock.now
-	r.work(askTime, func() {
-		r.noteLag(w.clock.now - posted)
-		w.decider.ask(q)
+	queuedAt := s.clock.now
+	r.work(submitCPU, func() {
+		r.recordLag(s.clock.now - queuedAt)
+		s.policy.submit(req)
 	})
 }
 
-// replied acts on a decision once the router has read it.
-func (w *world) replied(q *request, d dispatch.Decision) {
+// receiveDecision applies a decision after the router has spent the CPU time to read it.
+func (s *simulation) receiveDecision(req *request, d dispatch.Decision) {
 	if d.Verdict == dispatch.Wait {
 		return
 	}
-	r := w.routers[q.router]
-	r.work(answerTime, func() {
-		r.shedder.UpdateRate(w.clock.now, w.share(q), d.Allowance, d.RetryAfter)
+	r := s.routers[req.router]
+	r.work(decisionCPU, func() {
+		r.shedder.UpdateRate(s.clock.now, s.shareKey(req), d.Allowance, d.RetryAfter)
 		if d.Verdict == dispatch.Send {
-			r.work(streamTime, func() {})
+			r.work(streamCPU, func() {})
 		}
-		w.decided(q, d)
+		s.applyDecision(req, d)
 	})
 }
--- a/lab/sheet.go
+++ b/lab/sheet.go
@@ -9,89 +9,88 @@
 	"github.com/aspenswitch/aspenswitch/jsonc"
 )
 
-// Sheet is a deployment as its operators describe it: kinds of request, teams and
-// engines. The laboratory plays it; the routers never see one.
+// Sheet describes a deployment: its request classes, teams and engines. Only the simulation
+// uses it; routers don't.
 type Sheet struct {
-	// Engines and Routers are how many there are.
+	// Engines and Routers are the numbers of each.
 	Engines int `json:"engines"`
 	Routers int `json:"routers"`
-	// TokensPerSecond is what the operators publish for all engines.
+	// TokensPerSecond is the published capacity of all engines together.
 	TokensPerSecond float64 `json:"tokensPerSecond"`
-	// Teams' sizes fall as the rank to the power of Skew.
+	// The size of a team is proportional to its rank to the power of -Skew.
 	Teams   int         `json:"teams"`
 	Skew    float64     `json:"skew"`
 	Engine  EngineModel `json:"engine"`
 	Classes []Class     `json:"classes"`
 }
 
-// EngineModel is an engine's data sheet.
+// EngineModel holds the performance parameters of an engine.
 type EngineModel struct {
-	// Slots is how many requests run at once.
+	// Slots is the maximum number of requests in the batch.
 	Slots int `json:"slots"`
-	// KVTokens is the memory that running requests and kept parts share.
+	// KVTokens is the KV memory in tokens, shared by running requests and cached parts.
 	KVTokens int `json:"kvTokens"`
-	// A step takes StepMs, and more for each running request and each thousand tokens
-	// of their context.
+	// A step takes StepMs, plus StepMsPerSlot for each running request and ContextMsPerK for
+	// each thousand tokens of its context.
 	StepMs        float64 `json:"stepMs"`
 	StepMsPerSlot float64 `json:"stepMsPerSlot"`
 	ContextMsPerK float64 `json:"contextMsPerK"`
-	// Prompts are read in chunks of ChunkTokens, TokensPerMs in a millisecond, and
-	// PairsMsPerM more for a million pairs of tokens.
+	// Prompts are prefilled in chunks of at most ChunkTokens, at TokensPerMs tokens per
+	// millisecond plus PairsMsPerM milliseconds per million token pairs.
 	TokensPerMs float64 `json:"tokensPerMs"`
 	PairsMsPerM float64 `json:"pairsMsPerM"`
 	ChunkTokens int     `json:"chunkTokens"`
-	// CopyNsPerToken is how long copying a kept token from another engine takes.
+	// CopyNsPerToken is the time to copy a cached token from another engine, in nanoseconds.
 	CopyNsPerToken int64 `json:"copyNsPerToken"`
-	// Stride is how many tokens an event of a stream holds; a pause between two events
-	// over PauseMs makes an answer late.
+	// Stride is the number of tokens per stream event. An answer is late if the pause between
+	// two events exceeds PauseMs.
 	Stride  int     `json:"stride"`
 	PauseMs float64 `json:"pauseMs"`
-	// Speeds are the engines' step times against the sheet's, in turn.
+	// Speeds are factors on the step time, assigned to the engines in turn.
 	Speeds []float64 `json:"speeds"`
 }
 
-// Class is a kind of request.
+// Class is a class of requests.
 type Class struct {
 	Name string `json:"name"`
-	// PerSecond is how many arrive on a usual day.
+	// PerSecond is the base arrival rate.
 	PerSecond float64 `json:"perSecond"`
-	// GroupTokens and SessionTokens are the mean sizes of the two shared parts,
-	// OwnTokens of the request's part; Groups and Sessions how many of each there are.
+	// GroupTokens and SessionTokens are the mean sizes of the two shared prompt parts, OwnTokens
+	// that of the request's own part. Groups and Sessions are the numbers of distinct shared parts.
 	GroupTokens   float64 `json:"groupTokens"`
 	SessionTokens float64 `json:"sessionTokens"`
 	OwnTokens     float64 `json:"ownTokens"`
 	Groups        int     `json:"groups"`
 	Sessions      int     `json:"sessions"`
-	// OutputTokens is the mean number of tokens generated, MaxOutput the most.
+	// OutputTokens is the mean number of generated tokens, MaxOutput the maximum.
 	OutputTokens float64 `json:"outputTokens"`
 	MaxOutput    int     `json:"maxOutput"`
-	// TargetMs is the time to the first event, DeadlineMs that to the last.
+	// TargetMs is the target for the first event, DeadlineMs the deadline of the whole answer.
 	TargetMs   float64 `json:"targetMs"`
 	DeadlineMs float64 `json:"deadlineMs"`
-	// Worth is what an answer in time earns, LateWorth a late one.
+	// Worth is earned by an answer on time, LateWorth by a late one.
 	Worth     float64 `json:"worth"`
 	LateWorth float64 `json:"lateWorth"`
 }
 
-func inMillis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-func (c *Class) target() time.Duration   { return inMillis(c.TargetMs) }
-func (c *Class) deadline() time.Duration { return inMillis(c.DeadlineMs) }
+func (c *Class) target() time.Duration   { return milliseconds(c.TargetMs) }
+func (c *Class) deadline() time.Duration { return milliseconds(c.DeadlineMs) }
 
-// Fleet is the sheet's fleet.
+// Fleet returns the fleet of the deployment.
 func (s *Sheet) Fleet() Fleet { return Fleet{Engines: s.Engines, Routers: s.Routers} }
 
 func (e *EngineModel) copyPerToken() time.Duration { return time.Duration(e.CopyNsPerToken) }
 
 //go:embed sheets/*.json
-var builtin embed.FS
+var builtinSheets embed.FS
 
-// BuiltinSheet returns a sheet that comes with the laboratory: midlands, vilaine-grown,
-// cooling or cooling-grown. It panics if there is none of that name, or it has findings:
-// the tests read them all.
+// BuiltinSheet returns an embedded sheet: midlands, vilaine-grown, cooling or cooling-grown.
+// It panics if there is no such sheet or the sheet is invalid; the tests read all of them.
 func BuiltinSheet(name string) *Sheet {
 	file := "sheets/" + name + ".json"
-	raw, err := builtin.ReadFile(file)
+	raw, err := builtinSheets.ReadFile(file)
 	if err != nil {
 		panic(err)
 	}
@@ -102,7 +101,7 @@
 	return s
 }
 
-// ReadSheet reads a file, JSON with comments. Its error holds all findings.
+// ReadSheet reads a sheet from a JSON file with comments. The error holds all findings.
 func ReadSheet(file string) (*Sheet, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -121,7 +120,7 @@
 	return &s, nil
 }
 
-// check adds findings on values that can't be played.
+// check adds findings for values that can't be simulated.
 func (s *Sheet) check(d *jsonc.Document) {
 	positive := func(path string, x float64) {
 		if x <= 0 {
@@ -139,10 +138,10 @@
 	positive("/engine/chunkTokens", float64(s.Engine.ChunkTokens))
 	positive("/engine/stride", float64(s.Engine.Stride))
 	if len(s.Engine.Speeds) == 0 {
-		d.Add("/engine/speeds", "must name one speed at least")
+		d.Add("/engine/speeds", "must contain at least one speed")
 	}
 	if len(s.Classes) == 0 {
-		d.Add("/classes", "must name one kind of request at least")
+		d.Add("/classes", "must contain at least one request class")
 	}
 	for i := range s.Classes {
 		s.Classes[i].check(d, "/classes/"+strconv.Itoa(i))
@@ -158,17 +157,17 @@
 	}
 }
 
-// PerHome is what one of so many homes decides for: its part of the engines, the requests
-// and the sessions.
-func (s *Sheet) PerHome(homes int) *Sheet {
-	part := *s
-	part.Engines = s.Engines / homes
-	part.TokensPerSecond /= float64(homes)
-	part.Classes = make([]Class, len(s.Classes))
+// PerHome returns the deployment as seen by one of homeCount homes, with its share of the
+// engines, capacity, requests and sessions.
+func (s *Sheet) PerHome(homeCount int) *Sheet {
+	perHome := *s
+	perHome.Engines = s.Engines / homeCount
+	perHome.TokensPerSecond /= float64(homeCount)
+	perHome.Classes = make([]Class, len(s.Classes))
 	for i, c := range s.Classes {
-		c.PerSecond /= float64(homes)
-		c.Sessions /= homes
-		part.Classes[i] = c
+		c.PerSecond /= float64(homeCount)
+		c.Sessions /= homeCount
+		perHome.Classes[i] = c
 	}
-	return &part
+	return &perHome
 }
--- a/lab/sheet_test.go
+++ b/lab/sheet_test.go
@@ -10,7 +10,7 @@
 	"github.com/aspenswitch/aspenswitch/lab"
 )
 
-func TestSheetsOfTheLaboratoryAreSound(t *testing.T) {
+func TestBuiltinSheetsAreValid(t *testing.T) {
 	g := NewWithT(t)
 	files, err := filepath.Glob("sheets/*.json")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -21,8 +21,8 @@
 	}
 }
 
-// Whoever writes a sheet hears of all its faults at once, each with its place.
-func TestFaultsOfASheetAreTold(t *testing.T) {
+// All errors of a sheet must be reported at once, each with its location.
+func TestSheetErrorsAreReportedTogether(t *testing.T) {
 	g := NewWithT(t)
 	file := filepath.Join(t.TempDir(), "bad.json")
 	g.Expect(os.WriteFile(file, []byte(`{"engines": 0, "routers": 3, "unheardOf": 1,
@@ -33,13 +33,13 @@
 	}
 }
 
-// The part of one home holds its part of everything that grows with the fleet.
-func TestPartOfASheet(t *testing.T) {
+// One home's share must scale everything that grows with the fleet.
+func TestSheetPerHome(t *testing.T) {
 	g := NewWithT(t)
 	whole := lab.BuiltinSheet("cooling-grown")
-	part := whole.PerHome(3)
-	g.Expect(part.Engines).To(Equal(30))
-	g.Expect(part.TokensPerSecond * 3).To(BeNumerically("~", whole.TokensPerSecond, 1))
-	g.Expect(part.Classes[0].PerSecond * 3).To(BeNumerically("~", whole.Classes[0].PerSecond, 1e-9))
-	g.Expect(whole.Classes[0].Sessions).To(Equal(494), "the whole stays as it is")
+	perHome := whole.PerHome(3)
+	g.Expect(perHome.Engines).To(Equal(30))
+	g.Expect(perHome.TokensPerSecond * 3).To(BeNumerically("~", whole.TokensPerSecond, 1))
+	g.Expect(perHome.Classes[0].PerSecond * 3).To(BeNumerically("~", whole.Classes[0].PerSecond, 1e-9))
+	g.Expect(whole.Classes[0].Sessions).To(Equal(494), "PerHome must not modify the sheet")
 }
--- /dev/null
+++ b/lab/simulation.go
@@ -0,0 +1,341 @@
+package lab
+
+import (
+	"cmp"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"github.com/aspenswitch/aspenswitch/dispatch"
+)
+
+// simulation is one run of a load under a policy.
+type simulation struct {
+	clock      *clock
+	load       Load
+	fleet      Fleet
+	engines    []*engine
+	engineByID map[string]*engine
+	routers    []*router
+	requests   map[uint64]*request
+	policy     placementPolicy
+	rng        *rand.Rand
+	result     Result
+	earnings   *ledger
+	fairness   *fairnessMeter
+	// seq is the number of the latest attempt.
+	seq uint64
+}
+
+// request is a caller's request, with the state of its latest attempt.
+type request struct {
+	arrival
+	// seq identifies the latest attempt and attempts counts them; parts and outputHint are the
+	// same for all attempts.
+	seq      uint64
+	attempts int
+	// attemptAt is when the caller sent this attempt.
+	attemptAt   time.Duration
+	parts       []dispatch.Part
+	outputHint  int
+	engineIndex int
+	sentAt      time.Duration
+	firstToken  time.Duration
+	// engineSequence is set once the request is sent to an engine; upstream is the engine's ID.
+	engineSequence *sequence
+	upstream       string
+	// awaitsDecision is set while an attempt is pending at a home.
+	awaitsDecision bool
+	ended          bool
+}
+
+func (r *request) prompt() int {
+	n := 0
+	for _, p := range r.parts {
+		n += p.Tokens
+	}
+	return n
+}
+
+// Result holds the outcome of a simulation as fractions of what was offered.
+type Result struct {
+	Policy Policy
+	// Worth is earned worth divided by offered worth. WorthByClass is the same by class,
+	// SmallTeamsWorth for the smaller half of the teams.
+	Worth           float64
+	WorthByClass    map[string]float64
+	SmallTeamsWorth float64
+	// FairShareWorth is the earned fraction of the worth within the teams' fair shares: requests
+	// beyond a team's max-min share of the published capacity count neither as earned nor as
+	// offered. WorstTeamsWorth is the same for the tenth of the teams with the lowest fraction.
+	FairShareWorth, WorstTeamsWorth float64
+	// FairnessRatio is the lowest ratio of service to due of any team over six seconds.
+	FairnessRatio float64
+	// TrimmedFairnessRatio is the same with three of the largest requests subtracted from what
+	// is due, as users compute it.
+	TrimmedFairnessRatio float64
+	// OnTime, Late, Refused and TimedOut are fractions of the requests.
+	OnTime, Late, Refused, TimedOut float64
+	// RedundantPrefill is the fraction of the prefilled tokens that were shared parts cached at
+	// another engine.
+	RedundantPrefill float64
+	offered          float64
+}
+
+// Fleet describes the simulated fleet and its faults.
+type Fleet struct {
+	Engines, Routers int
+	// Homes is the number of homes that divide the engines; 0 means one.
+	Homes int
+	// SpreadTeams are the teams whose callers use all routers if RouterCPUs is set. The callers
+	// of any other team use one router.
+	SpreadTeams []int
+	// RouterCPUs is the CPU of each router in cores. If empty, routers take no CPU time and a
+	// team's callers use up to two routers.
+	RouterCPUs []float64
+	// RouterStalls are periods in which a router does no work.
+	RouterStalls []RouterStall
+	// EngineOutages are periods in which some of the engines get no work.
+	EngineOutages []EngineOutage
+	// ReportLoss is the fraction of messages between homes that are lost, MaxReportDelay the
+	// maximum extra delay of the others.
+	ReportLoss     float64
+	MaxReportDelay time.Duration
+	// HomeReplacements are homes that are lost with all their state.
+	HomeReplacements []HomeReplacement
+}
+
+// HomeReplacement replaces a home by one without any state.
+type HomeReplacement struct {
+	Home int
+	At   time.Duration
+}
+
+// EngineOutage makes the last engines of the list unavailable for a period.
+type EngineOutage struct {
+	Engines  int
+	From, To time.Duration
+}
+
+// RouterStall blocks a router's CPU: its CPU quota is used up, or its VM is paused.
+type RouterStall struct {
+	Router int
+	At     time.Duration
+	Length time.Duration
+}
+
+// Simulate runs a load on a fleet under a policy. The same seed gives the same result.
+func Simulate(l Load, f Fleet, p Policy) Result { return runSimulation(l, f, p).summarize() }
+
+func runSimulation(l Load, f Fleet, p Policy) *simulation {
+	sim := &simulation{
+		clock: &clock{}, load: l, fleet: f, engineByID: map[string]*engine{}, requests: map[uint64]*request{},
+		rng: rand.New(rand.NewPCG(l.Seed, 1)), result: Result{Policy: p, WorthByClass: map[string]float64{}},
+		earnings: newLedger(l.Sheet), fairness: newFairnessMeter(l.Sheet.Teams),
+	}
+	model := &l.Sheet.Engine
+	for i := range f.Engines {
+		e := newEngine(fmt.Sprintf("e%d", i), sim.clock, model, model.Speeds[i%len(model.Speeds)])
+		e.peers = sim.engineByID
+		sim.engines = append(sim.engines, e)
+		sim.engineByID[e.id] = e
+	}
+	for _, cpuShare := range f.RouterCPUs {
+		sim.routers = append(sim.routers, newRouter(sim.clock, cpuShare))
+	}
+	for _, stall := range f.RouterStalls {
+		sim.clock.after(stall.At, func() { sim.routers[stall.Router].stall(stall.Length) })
+	}
+	sim.policy = sim.newPolicy(p)
+	for i, a := range l.arrivals(f.Routers) {
+		if len(sim.routers) > 0 {
+			a.router = sim.pickRouter(a.team)
+		}
+		r := &request{arrival: a}
+		r.parts = sim.parts(r, uint64(i+1))
+		// Callers' hints are right at the median and often far off.
+		r.outputHint = max(1, int(lognormal(sim.rng, float64(a.outputTokens), 0.5)))
+		sim.earnings.recordRequest(r.at, r.team, sim.worth(r, sim.class(r).Worth), r.charge())
+		sim.clock.after(a.at, func() { sim.arrive(r) })
+	}
+	sim.clock.run(l.Duration + 20*time.Second)
+	return sim
+}
+
+// pickRouter returns the router for a caller of a team.
+func (s *simulation) pickRouter(team int) int {
+	if slices.Contains(s.fleet.SpreadTeams, team) {
+		return s.rng.IntN(len(s.routers))
+	}
+	return team % len(s.routers)
+}
+
+// parts returns a request's prompt parts: group, session and its own.
+func (s *simulation) parts(r *request, ownID uint64) []dispatch.Part {
+	c := s.class(r)
+	base := uint64(r.class+1) << 40
+	group := r.session % c.Groups
+	return []dispatch.Part{
+		{ID: base | uint64(group), Tokens: int(c.GroupTokens)},
+		{ID: base | 1<<20 | uint64(r.session), Tokens: int(c.SessionTokens)},
+		{ID: base | 1<<39 | ownID, Tokens: r.ownTokens},
+	}
+}
+
+func (s *simulation) class(r *request) *Class { return &s.load.Sheet.Classes[r.class] }
+
+// charge returns the tokens charged to a team's share: prompt tokens plus twice the output tokens.
+func (r *request) charge() float64 { return float64(r.prompt()) + 2*float64(r.outputTokens) }
+
+// latestAttempts returns the requests at their latest attempt, ordered by attempt number.
+func (s *simulation) latestAttempts() []*request {
+	out := make([]*request, 0, len(s.requests))
+	for seq, r := range s.requests {
+		if seq == r.seq {
+			out = append(out, r)
+		}
+	}
+	slices.SortFunc(out, func(a, b *request) int { return cmp.Compare(a.seq, b.seq) })
+	return out
+}
+
+// worth scales base by the request's size: three tenths are fixed, the rest is proportional
+// to the size relative to the mean of the class, up to four times base.
+func (s *simulation) worth(r *request, base float64) float64 {
+	c := s.class(r)
+	mean := c.GroupTokens + c.SessionTokens + c.OwnTokens + 10*c.OutputTokens
+	size := (float64(r.prompt()) + 10*float64(r.outputTokens)) / mean
+	return base * min(0.3+0.7*size, 4)
+}
+
+func (s *simulation) arrive(r *request) {
+	s.fairness.at(s.clock.now, r.team).requestedTokens += r.charge()
+	s.fairness.largestRequest = max(s.fairness.largestRequest, r.charge())
+	s.clock.after(s.class(r).deadline(), func() { s.expire(r) })
+	s.attempt(r)
+}
+
+// attempt sends the next attempt of a request under a new number.
+func (s *simulation) attempt(r *request) {
+	s.seq++
+	r.seq = s.seq
+	r.attempts++
+	r.attemptAt = s.clock.now
+	s.requests[r.seq] = r
+	if len(s.routers) > 0 {
+		s.receive(r)
+		return
+	}
+	s.policy.submit(r)
+}
+
+// remaining returns the time until the caller's deadline.
+func (s *simulation) remaining(r *request) time.Duration {
+	return r.at + s.class(r).deadline() - s.clock.now
+}
+
+// applyDecision applies a decision as a router does.
+func (s *simulation) applyDecision(r *request, d dispatch.Decision) {
+	if d.Verdict == dispatch.Wait || r.ended || r.engineSequence != nil || d.Ticket.Seq != r.seq && d.Ticket.Seq != 0 {
+		return
+	}
+	r.awaitsDecision = false
+	if d.Verdict == dispatch.Refuse {
+		s.refused(r, d.RetryAfter)
+		return
+	}
+	r.sentAt = s.clock.now
+	r.engineSequence = &sequence{parts: r.parts, prompt: r.prompt(), outputTokens: r.outputTokens}
+	r.engineSequence.firstToken = func() {
+		r.firstToken = s.clock.now
+		cell := s.fairness.at(s.clock.now, r.team)
+		cell.startedTokens += r.charge()
+		cell.underserved = cell.underserved || r.firstToken-r.at > s.class(r).target()
+		s.policy.started(r)
+	}
+	r.engineSequence.done = func() { s.answered(r) }
+	r.upstream = d.Upstream
+	s.engineByID[d.Upstream].submit(r.engineSequence, s.engineByID[d.CopyFrom])
+}
+
+// retryDelayDivisor limits a caller's retry delay to this fraction (1/n) of its remaining time.
+const retryDelayDivisor = 3
+
+// refused ends a request, or schedules a retry after retryAfter.
+func (s *simulation) refused(r *request, retryAfter time.Duration) {
+	s.fairness.at(s.clock.now, r.team).underserved = true
+	if r.attempts <= s.load.MaxRetries {
+		s.clock.after(min(retryAfter, s.remaining(r)/retryDelayDivisor), func() {
+			if !r.ended {
+				s.attempt(r)
+			}
+		})
+		return
+	}
+	r.ended = true
+	s.finish(r, 0, &s.result.Refused)
+}
+
+// answered records a complete answer.
+func (s *simulation) answered(r *request) {
+	if r.ended {
+		return
+	}
+	r.ended = true
+	c := s.class(r)
+	s.policy.done(r, dispatch.Served, s.clock.now-r.sentAt)
+	if r.firstToken-r.at <= c.target() && r.engineSequence.longestPause <= milliseconds(s.load.Sheet.Engine.PauseMs) {
+		s.finish(r, c.Worth, &s.result.OnTime)
+		return
+	}
+	s.finish(r, c.LateWorth, &s.result.Late)
+}
+
+// expire cancels a request at its deadline.
+func (s *simulation) expire(r *request) {
+	if r.ended {
+		return
+	}
+	r.ended = true
+	if r.engineSequence != nil {
+		r.engineSequence.cancelled = true
+	}
+	s.policy.done(r, dispatch.Cancelled, 0)
+	s.finish(r, 0, &s.result.TimedOut)
+}
+
+// finish records a request's outcome and the base worth that it earned.
+func (s *simulation) finish(r *request, earned float64, counter *float64) {
+	*counter++
+	s.result.offered++
+	s.earnings.recordEarned(r.at, r.team, s.worth(r, earned))
+	s.result.WorthByClass[s.class(r).Name] += earned
+}
+
+// trimmedRequests is how many of the largest requests users leave out when they compare teams.
+const trimmedRequests = 3
+
+// summarize converts counts to fractions.
+func (s *simulation) summarize() Result {
+	res := s.result
+	n := res.offered
+	res.OnTime, res.Late, res.Refused, res.TimedOut = res.OnTime/n, res.Late/n, res.Refused/n, res.TimedOut/n
+	offered := make([]int, len(s.load.Sheet.Classes))
+	for _, r := range s.requests {
+		offered[r.class]++
+	}
+	for i, c := range s.load.Sheet.Classes {
+		res.WorthByClass[c.Name] /= float64(offered[i]) * c.Worth
+	}
+	res.Worth, res.SmallTeamsWorth = s.earnings.totalRatio(), s.earnings.smallTeamsRatio()
+	res.FairShareWorth, res.WorstTeamsWorth, res.FairnessRatio = s.earnings.earnings(), s.earnings.worstRatio(), s.fairness.worstRatio()
+	res.TrimmedFairnessRatio = s.fairness.trimmedWorstRatio(trimmedRequests)
+	prefilled, redundant := 0, 0
+	for _, e := range s.engines {
+		prefilled += e.prefilled
+		redundant += e.redundant
+	}
+	res.RedundantPrefill = float64(redundant) / float64(max(prefilled, 1))
+	return res
+}
