--- a/experiment/bench.go
+++ b/experiment/bench.go
@@ -15,7 +15,7 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("experiment")
 
-// Comparison is the designs under one load, in one run.
+// Comparison holds the outcomes of the designs under one load.
 type Comparison struct {
 	Load     string    `json:"load"`
 	Seeds    int       `json:"seeds"`
@@ -29,30 +29,30 @@
 // Plot draws the fleet's service by team as SVG.
 func (c Comparison) Plot(out io.Writer) { Plot(out, c.load, c.Outcomes[1]) }
 
-// Ratios are the figures that bounds stand for. The first two are the fleet's by
-// the omniscient scheduler's.
+// Ratios are the values that regression bounds apply to. The first three are ratios of the
+// fleet to the omniscient scheduler.
 type Ratios struct {
 	FairnessGap     float64 `json:"fairness_gap_ratio"`
 	MeanFairnessGap float64 `json:"mean_fairness_gap_ratio"`
 	Utilisation     float64 `json:"utilisation_ratio"`
-	// SmallTeamWait is a small team's p99 wait while another floods by its p99
-	// wait without the flood.
+	// SmallTeamWait is the p99 wait of small teams while another team floods, divided by their
+	// p99 wait without the flood.
 	SmallTeamWait float64 `json:"small_team_wait_ratio"`
 	ControlBytes  float64 `json:"control_bytes_per_node_per_second"`
 	ControlCPU    float64 `json:"control_cpu_fraction"`
 }
 
-// Bound is what a figure may be at most or at least.
+// Bound limits a value from above, below or both.
 type Bound struct {
 	Max *float64 `json:"most,omitempty"`
 	Min *float64 `json:"least,omitempty"`
 }
 
-// Bounds are the regression bounds by load and figure.
+// Bounds are the regression bounds by load and name of the value.
 type Bounds map[string]map[string]Bound
 
-// floodTimes is how much more the flooding team asks for.
-const floodTimes = 8
+// floodFactor multiplies the demand of the flooding team.
+const floodFactor = 8
 
 // Compare measures the fleet, the fixed split and the omniscient scheduler.
 func Compare(load func(seed uint64) Load, seeds int) Comparison {
@@ -61,7 +61,7 @@
 	split := RunSeeds(load, seeds, FixedSplit())
 	fleet := RunSeeds(load, seeds, Fleet(nil))
 	calm := RunSeeds(func(s uint64) Load { return load(s).WithFlood(1) }, seeds, Fleet(nil))
-	flood := RunSeeds(func(s uint64) Load { return load(s).WithFlood(floodTimes) }, seeds, Fleet(nil))
+	flood := RunSeeds(func(s uint64) Load { return load(s).WithFlood(floodFactor) }, seeds, Fleet(nil))
 	calm.Design, flood.Design = "fleet, peak without flood", "fleet, one team floods"
 	return Comparison{
 		Load: l.Name, load: l, Seeds: seeds, Seconds: l.Duration.Seconds(),
@@ -77,8 +77,7 @@
 	}
 }
 
-// Suite returns the comparisons of `make bench`, or the shorter ones of
-// `make bench-quick`.
+// Suite runs the comparisons of `make bench`, or the shorter ones of `make bench-quick`.
 func Suite(quick bool) []Comparison {
 	duration, seeds := 120*time.Second, 8
 	if quick {
@@ -120,37 +119,37 @@
 	return b, Error.Wrap(json.Unmarshal(raw, &b))
 }
 
-// Violations names every figure that is beyond its bound.
+// Violations describes every value that is beyond its bound.
 func (b Bounds) Violations(all []Comparison) ([]string, error) {
-	var beyond []string
+	var violations []string
 	for _, c := range all {
-		figures, err := c.Ratios.figures()
+		values, err := c.Ratios.values()
 		if err != nil {
 			return nil, err
 		}
 		for name, bound := range b[c.Load] {
-			value, ok := figures[name]
+			value, ok := values[name]
 			if !ok {
-				return nil, Error.New("bound for %q, which is not measured", name)
+				return nil, Error.New("bound for unknown value %q", name)
 			}
 			if bound.Max != nil && value > *bound.Max {
-				beyond = append(beyond, fmt.Sprintf("%s %s is %.4f, at most %.4f", c.Load, name, value, *bound.Max))
+				violations = append(violations, fmt.Sprintf("%s %s is %.4f, at most %.4f", c.Load, name, value, *bound.Max))
 			}
 			if bound.Min != nil && value < *bound.Min {
-				beyond = append(beyond, fmt.Sprintf("%s %s is %.4f, at least %.4f", c.Load, name, value, *bound.Min))
+				violations = append(violations, fmt.Sprintf("%s %s is %.4f, at least %.4f", c.Load, name, value, *bound.Min))
 			}
 		}
 	}
-	slices.Sort(beyond)
-	return beyond, nil
+	slices.Sort(violations)
+	return violations, nil
 }
 
-// figures returns the ratios by their JSON names.
-func (r Ratios) figures() (map[string]float64, error) {
+// values returns the ratios by their JSON names.
+func (r Ratios) values() (map[string]float64, error) {
 	raw, err := json.Marshal(r)
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	var figures map[string]float64
-	return figures, Error.Wrap(json.Unmarshal(raw, &figures))
+	var values map[string]float64
+	return values, Error.Wrap(json.Unmarshal(raw, &values))
 }
--- a/experiment/bound_test.go
+++ b/experiment/bound_test.go
@@ -8,7 +8,7 @@
 	"github.com/aspenswitch/aspenswitch/sched"
 )
 
-// randomLoad draws sizes, shares, demands, and where the teams are seen.
+// randomLoad draws the request costs, the teams' shares and demands, and the routers that they use.
 func randomLoad(seed uint64) Load {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	l := Load{
@@ -25,9 +25,8 @@
 	return l
 }
 
-// Thirty random loads, shares, and spreads of teams over routers: the gap stays
-// within the bound, no team that waits goes without service, and hardly any slot
-// time is idle beside a waiting request.
+// Thirty random loads, shares and assignments of teams to routers: the gap must stay within the
+// bound, no waiting team may starve, and hardly any slot may idle while a request waits.
 func TestGapStaysWithinTheBound(t *testing.T) {
 	for seed := range uint64(30) {
 		l := randomLoad(seed)
@@ -37,22 +36,22 @@
 		}
 		r := newRun(l, Fleet(nil))
 		r.run()
-		if bound := gapBound(l, sched.DefaultConfig("", 0), largest); r.meter.whole.gap > bound {
-			t.Errorf("load %d: gap %g is beyond the bound %g", seed, r.meter.whole.gap, bound)
+		if bound := gapBound(l, sched.DefaultConfig("", 0), largest); r.meter.runGap.gap > bound {
+			t.Errorf("load %d: gap %g is beyond the bound %g", seed, r.meter.runGap.gap, bound)
 		}
-		starves := time.Duration(2*largest*float64(time.Second)) + time.Second
+		maxUnserved := time.Duration(2*largest*float64(time.Second)) + time.Second
 		for i, team := range r.meter.teams {
-			if team.longest > starves {
-				t.Errorf("load %d: team %d waited %v without service", seed, i, team.longest)
+			if team.longestUnserved > maxUnserved {
+				t.Errorf("load %d: team %d waited %v without service", seed, i, team.longestUnserved)
 			}
 		}
-		if wasted := r.meter.idleWaste / (float64(l.Slots()) * l.Duration.Seconds()); wasted > 0.02 {
-			t.Errorf("load %d: %g of all slot time stood idle beside waiting requests", seed, wasted)
+		if idleFraction := r.meter.idleTime / (float64(l.Slots()) * l.Duration.Seconds()); idleFraction > 0.02 {
+			t.Errorf("load %d: %g of all slot time was idle while requests waited", seed, idleFraction)
 		}
 	}
 }
 
-// The whole fleet has the same verdict on the same seed: a run can be repeated.
+// A run must be repeatable: the same seed gives the same outcome.
 func TestRunsRepeat(t *testing.T) {
 	l := Midlands(3, 5*time.Second)
 	a, b := Run(l, Fleet(nil)), Run(l, Fleet(nil))
@@ -61,17 +60,17 @@
 	}
 }
 
-// gapBound is the largest weighted service gap, in slot seconds per unit of share,
-// that the design allows between two backlogged teams; docs/FAIRNESS.md derives
-// it. largest is the cost of the load's largest request. It is loose: it lets
-// every slot be wrong at once.
+// gapBound returns the largest weighted service gap, in slot seconds per unit of share, that
+// the design allows between two backlogged teams; docs/FAIRNESS.md derives it. largest is the
+// cost of the load's largest request. The bound is loose: it assumes that every slot is
+// assigned wrongly at the same time.
 func gapBound(l Load, cfg sched.Config, largest float64) float64 {
-	least := l.Teams[0].Share
+	minShare := l.Teams[0].Share
 	for _, t := range l.Teams {
-		least = min(least, t.Share)
+		minShare = min(minShare, t.Share)
 	}
 	slots := float64(l.Slots())
-	unseen := cfg.ReportEvery.Seconds() + tickEvery.Seconds() + 2*l.OneWay.Seconds()
-	known := (cfg.Hysteresis + float64(l.Routers)*cfg.Fairness.ReportError) * l.MeanCost
-	return known + slots/least*(unseen+cfg.Fairness.PrechargeRatio*l.MeanCost+largest)
+	reportDelay := cfg.ReportEvery.Seconds() + tickInterval.Seconds() + 2*l.OneWay.Seconds()
+	reportedError := (cfg.Hysteresis + float64(l.Routers)*cfg.Fairness.ReportError) * l.MeanCost
+	return reportedError + slots/minShare*(reportDelay+cfg.Fairness.PrechargeRatio*l.MeanCost+largest)
 }
--- a/experiment/design.go
+++ b/experiment/design.go
@@ -7,23 +7,23 @@
 	"github.com/aspenswitch/aspenswitch/sched"
 )
 
-// Design is a way to schedule, made of the same nodes.
+// Design is a scheduling design built from the same nodes.
 type Design struct {
 	Name string
-	// Nodes is the number of nodes; every router's requests go to its own node,
-	// or to the only one.
+	// Nodes returns the number of nodes. Each router submits to its own node, or all submit to
+	// the only one.
 	Nodes func(Load) int
-	// Connected lets the nodes talk; without it each has a fixed part of the slots.
+	// Connected enables messages between the nodes; without it each has a fixed part of the slots.
 	Connected bool
 	Tune      func(*sched.Config)
 }
 
-// Fleet is the design of the daemon.
+// Fleet is the design that the daemon uses.
 func Fleet(tune func(*sched.Config)) Design {
 	return Design{Name: "fleet", Nodes: func(l Load) int { return l.Routers }, Connected: true, Tune: tune}
 }
 
-// FixedSplit is local queues with a fixed part of the slots each.
+// FixedSplit gives each router a local queue and a fixed part of the slots.
 func FixedSplit() Design {
 	return Design{Name: "fixed split", Nodes: func(l Load) int { return l.Routers }}
 }
@@ -33,7 +33,7 @@
 	return Design{Name: "omniscient", Nodes: func(Load) int { return 1 }}
 }
 
-// settings returns what node i is configured with.
+// settings returns the settings of node i.
 func (d Design) settings(l Load, i int) sched.Settings {
 	s := sched.Settings{Pools: []int{1}}
 	for id, t := range l.Teams {
@@ -43,17 +43,17 @@
 	for u := range l.Upstreams {
 		slots := l.SlotsPerUpstream
 		if !d.Connected {
-			slots = part(l.SlotsPerUpstream, nodes, (i+u)%nodes)
+			slots = splitSlots(l.SlotsPerUpstream, nodes, (i+u)%nodes)
 		}
 		s.Upstreams = append(s.Upstreams, sched.Upstream{ID: u + 1, Pool: 1, Slots: slots})
 	}
 	return s
 }
 
-// part is the i-th of n nearly equal parts of total.
-func part(total, n, i int) int { return total*(i+1)/n - total*i/n }
+// splitSlots returns the i-th of n nearly equal parts of total.
+func splitSlots(total, n, i int) int { return total*(i+1)/n - total*i/n }
 
 func nodeName(i int) string { return fmt.Sprintf("vm%d", i+1) }
 
-// tickEvery is the daemon's tick.
-const tickEvery = 100 * time.Millisecond
+// tickInterval is the tick interval of the daemon.
+const tickInterval = 100 * time.Millisecond
--- a/experiment/events.go
+++ b/experiment/events.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// event is something that happens at a virtual time.
+// event is a function to run at a virtual time.
 type event struct {
 	at  time.Duration
 	seq int
 	run func()
 }
 
-// events is a heap ordered by time, then by when the event was added.
+// events is a heap ordered by time, then by insertion.
 type events []*event
 
 func (e events) Len() int { return len(e) }
@@ -33,21 +33,21 @@
 	return last
 }
 
-// timeline runs events in virtual time.
-type timeline struct {
+// virtualClock runs events in virtual time.
+type virtualClock struct {
 	queue events
 	now   time.Duration
 	seq   int
 }
 
-func (t *timeline) at(when time.Duration, run func()) {
+func (t *virtualClock) at(when time.Duration, run func()) {
 	t.seq++
 	heap.Push(&t.queue, &event{at: when, seq: t.seq, run: run})
 }
 
-func (t *timeline) after(d time.Duration, run func()) { t.at(t.now+d, run) }
+func (t *virtualClock) after(d time.Duration, run func()) { t.at(t.now+d, run) }
 
-func (t *timeline) runUntil(end time.Duration) {
+func (t *virtualClock) runUntil(end time.Duration) {
 	for len(t.queue) > 0 && t.queue[0].at <= end {
 		e := heap.Pop(&t.queue).(*event)
 		t.now = e.at
--- a/experiment/gap.go
+++ b/experiment/gap.go
@@ -1,38 +1,38 @@
 package experiment
 
-// maxMeteredTeams bounds the pairs that are followed.
+// maxMeteredTeams bounds the number of teams, and so of pairs, that are measured.
 const maxMeteredTeams = 64
 
-// pairRange is the spread of the difference in weighted service between two
-// teams while both have been backlogged.
-type pairRange struct {
-	open      bool
+// gapRange is the range of the difference in weighted service between two teams while both
+// are backlogged.
+type gapRange struct {
+	active    bool
 	low, high float64
 }
 
-// gapMeter follows the largest gap in weighted service between any two teams
-// over any time in which both are backlogged, in slot seconds per unit of share.
+// gapMeter measures the largest gap in weighted service between any two teams over any
+// period in which both are backlogged, in slot seconds per unit of share.
 type gapMeter struct {
 	teams int
-	pairs []pairRange
+	pairs []gapRange
 	gap   float64
 }
 
 func newGapMeter(teams int) *gapMeter {
-	return &gapMeter{teams: teams, pairs: make([]pairRange, teams*teams)}
+	return &gapMeter{teams: teams, pairs: make([]gapRange, teams*teams)}
 }
 
-// observe takes in the difference between two teams now.
-func (g *gapMeter) observe(i, j int, bothWait bool, d float64) {
+// observe records the current difference in weighted service between teams i and j.
+func (g *gapMeter) observe(i, j int, bothBacklogged bool, difference float64) {
 	p := &g.pairs[i*g.teams+j]
-	if !bothWait {
-		p.open = false
+	if !bothBacklogged {
+		p.active = false
 		return
 	}
-	if !p.open {
-		*p = pairRange{open: true, low: d, high: d}
+	if !p.active {
+		*p = gapRange{active: true, low: difference, high: difference}
 		return
 	}
-	p.low, p.high = min(p.low, d), max(p.high, d)
+	p.low, p.high = min(p.low, difference), max(p.high, difference)
 	g.gap = max(g.gap, p.high-p.low)
 }
--- a/experiment/load.go
+++ b/experiment/load.go
@@ -6,17 +6,16 @@
 	"time"
 )
 
-// Team is one team's part of a load.
+// Team is a team's share, demand and routers.
 type Team struct {
 	Share float64
-	// Demand is the offered load as a multiple of the team's owed part of the
-	// slots, at the peak.
+	// Demand is the team's offered load at the peak, as a multiple of its fair share of the slots.
 	Demand float64
-	// Router is the only router that sees the team; -1 for all of them.
+	// Router is the only router that the team's callers use, or -1 for all routers.
 	Router int
 }
 
-// Load is a workload, drawn from a seed.
+// Load is a random workload, determined by its seed.
 type Load struct {
 	Name             string
 	Seed             uint64
@@ -24,17 +23,16 @@
 	Upstreams        int
 	SlotsPerUpstream int
 	Teams            []Team
-	// MeanCost is the mean of a request's cost in slot seconds; costs are
-	// lognormal with Sigma.
+	// MeanCost is the mean cost of a request in slot seconds; costs are lognormal with Sigma.
 	MeanCost, Sigma float64
-	// PhaseLength is how long the peak and the half load last, by turns.
+	// PhaseLength is the length of the alternating peak and off-peak phases; 0 means always peak.
 	PhaseLength time.Duration
 	Duration    time.Duration
 	// OneWay is the delay of a message between two routers.
 	OneWay time.Duration
 }
 
-// Slots is the number of slots of all upstreams.
+// Slots returns the number of slots of all upstreams.
 func (l Load) Slots() int { return l.Upstreams * l.SlotsPerUpstream }
 
 // arrival is one request of the load.
@@ -46,59 +44,59 @@
 }
 
 const (
-	largeShare = 4
-	// halfLoad is the part of the peak demand in the quiet phases.
-	halfLoad = 0.4
-	justFull = 0.98
+	largeTeamShare = 4
+	// offPeakFactor is the off-peak demand as a fraction of the peak demand.
+	offPeakFactor  = 0.4
+	justFullDemand = 0.98
 )
 
-// smallDemands are the offered loads of the small teams, in turn: two stay
-// below what they are owed, two want more.
-var smallDemands = []float64{0.4, 1.3, 0.8, 1.7}
+// smallTeamDemands are the demands of the small teams, assigned in turn: two are below the
+// fair share, two above.
+var smallTeamDemands = []float64{0.4, 1.3, 0.8, 1.7}
 
-func teams(n, large, routers int, largeDemand float64) []Team {
+func newTeams(n, large, routers int, largeDemand float64) []Team {
 	all := make([]Team, n)
 	for i := range all {
 		if i < large {
-			all[i] = Team{Share: largeShare, Demand: largeDemand, Router: -1}
+			all[i] = Team{Share: largeTeamShare, Demand: largeDemand, Router: -1}
 			continue
 		}
-		all[i] = Team{Share: 1, Demand: smallDemands[i%len(smallDemands)], Router: i % routers}
+		all[i] = Team{Share: 1, Demand: smallTeamDemands[i%len(smallTeamDemands)], Router: i % routers}
 	}
 	return all
 }
 
-// Midlands is the brief's first fleet: 24 runners, 16 teams of which 3 large.
+// Midlands is a fleet of 24 runners and 16 teams, 3 of them large.
 func Midlands(seed uint64, duration time.Duration) Load {
 	return Load{
 		Name: "midlands", Seed: seed, Routers: 7, Upstreams: 24, SlotsPerUpstream: 8,
-		Teams: teams(16, 3, 7, 1.6), MeanCost: 1.3, Sigma: 1, PhaseLength: 20 * time.Second,
+		Teams: newTeams(16, 3, 7, 1.6), MeanCost: 1.3, Sigma: 1, PhaseLength: 20 * time.Second,
 		Duration: duration, OneWay: 500 * time.Microsecond,
 	}
 }
 
-// JustFull is the Midlands fleet whose teams together ask for a little less than
-// there is: slots fall idle now and then beside a router with waiting requests.
-// It is the worst case for control traffic.
+// JustFull is the Midlands fleet with a total demand slightly below the capacity: now and
+// then slots are idle while another router has waiting requests. It is the worst case for
+// control traffic.
 func JustFull(seed uint64, duration time.Duration) Load {
 	l := Midlands(seed, duration)
 	l.Name, l.PhaseLength = "just-full", 0
 	for i := range l.Teams {
-		l.Teams[i].Demand = justFull
+		l.Teams[i].Demand = justFullDemand
 	}
 	return l
 }
 
-// Vilaine is the brief's second fleet: 15 runners, longer delays.
+// Vilaine is a fleet of 15 runners with longer message delays.
 func Vilaine(seed uint64, duration time.Duration) Load {
 	return Load{
 		Name: "vilaine", Seed: seed, Routers: 6, Upstreams: 15, SlotsPerUpstream: 8,
-		Teams: teams(16, 3, 6, 1.6), MeanCost: 1.3, Sigma: 1, PhaseLength: 20 * time.Second,
+		Teams: newTeams(16, 3, 6, 1.6), MeanCost: 1.3, Sigma: 1, PhaseLength: 20 * time.Second,
 		Duration: duration, OneWay: 1500 * time.Microsecond,
 	}
 }
 
-// arrivals draws the requests in order of time.
+// arrivals draws the requests, sorted by time.
 func (l Load) arrivals() []arrival {
 	var all []arrival
 	shares := 0.0
@@ -120,7 +118,7 @@
 	for {
 		rate := peak
 		if l.PhaseLength > 0 && (at/l.PhaseLength)%2 == 1 {
-			rate *= halfLoad
+			rate *= offPeakFactor
 		}
 		at += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
 		if at >= l.Duration {
--- a/experiment/meter.go
+++ b/experiment/meter.go
@@ -6,55 +6,55 @@
 	"time"
 )
 
-// sampleEvery is how often service and use are sampled.
-const sampleEvery = 5 * time.Millisecond
+// sampleInterval is how often service and starvation are sampled.
+const sampleInterval = 5 * time.Millisecond
 
-// teamMeter follows one team over the whole fleet.
+// teamMeter measures one team over the whole fleet.
 type teamMeter struct {
 	share   float64
 	waiting int
-	// done is the service of requests that ended; running holds the others.
-	done    float64
-	running int
+	// completedService is the service of completed requests; running counts the others.
+	completedService float64
+	running          int
 	// startSum is the sum of the running requests' start times in seconds.
 	startSum float64
 	waits    []float64
-	// quiet is how long the team has waited without any request being served,
-	// longest the longest time that was so.
-	quiet, longest time.Duration
+	// unserved is how long requests of the team have waited since one of them last started;
+	// longestUnserved is its maximum.
+	unserved, longestUnserved time.Duration
 }
 
-// service is the team's slot time so far, in seconds.
+// service returns the team's slot time so far, in seconds.
 func (t *teamMeter) service(now time.Duration) float64 {
-	return t.done + float64(t.running)*now.Seconds() - t.startSum
+	return t.completedService + float64(t.running)*now.Seconds() - t.startSum
 }
 
-// wait adds a sample to the time without service.
-func (t *teamMeter) wait() {
+// sampleUnserved adds a sample interval to unserved, or resets it if nothing waits.
+func (t *teamMeter) sampleUnserved() {
 	if t.waiting == 0 {
-		t.quiet = 0
+		t.unserved = 0
 		return
 	}
-	t.quiet += sampleEvery
-	t.longest = max(t.longest, t.quiet)
+	t.unserved += sampleInterval
+	t.longestUnserved = max(t.longestUnserved, t.unserved)
 }
 
-// meter measures what the brief asks for.
+// meter measures the fairness gap, slot utilisation and waits of a run.
 type meter struct {
-	slots   int
-	teams   []teamMeter
-	weights []float64
-	// whole follows the gap over the run, window over ten seconds at a time.
-	whole, window *gapMeter
-	windowSum     float64
-	windows       int
-	busy          int
-	waiting       int
-	idleWaste     float64
-	busyTime      float64
-	strictBusy    float64
-	strictTime    float64
-	series        [][]float64
+	slots    int
+	teams    []teamMeter
+	weighted []float64
+	// runGap measures the gap over the whole run, windowGap over the current gapWindow.
+	runGap, windowGap *gapMeter
+	windowGapSum      float64
+	windowCount       int
+	busy              int
+	waiting           int
+	idleTime          float64
+	busyTime          float64
+	strictBusyTime    float64
+	strictTotalTime   float64
+	series            [][]float64
 }
 
 func newMeter(load Load) *meter {
@@ -63,8 +63,8 @@
 		m.teams[i].share = t.Share
 	}
 	metered := min(len(load.Teams), maxMeteredTeams)
-	m.weights = make([]float64, metered)
-	m.whole, m.window = newGapMeter(metered), newGapMeter(metered)
+	m.weighted = make([]float64, metered)
+	m.runGap, m.windowGap = newGapMeter(metered), newGapMeter(metered)
 	return m
 }
 
@@ -79,7 +79,7 @@
 	m.waiting--
 	t.running++
 	t.startSum += now.Seconds()
-	t.quiet = 0
+	t.unserved = 0
 	t.waits = append(t.waits, waited.Seconds())
 	m.busy++
 }
@@ -88,59 +88,59 @@
 	t := &m.teams[team]
 	t.running--
 	t.startSum -= started.Seconds()
-	t.done += cost
+	t.completedService += cost
 	m.busy--
 }
 
-// use adds up how the slots were used since the last event.
-func (m *meter) use(elapsed time.Duration) {
+// addUsage adds the slot usage of the time since the last event, if any request waits.
+func (m *meter) addUsage(elapsed time.Duration) {
 	if m.waiting == 0 {
 		return
 	}
 	idle := max(m.slots-m.busy, 0)
 	seconds := elapsed.Seconds()
 	m.busyTime += float64(m.busy) * seconds
-	m.idleWaste += float64(min(idle, m.waiting)) * seconds
-	m.strictBusy += float64(min(m.busy, m.slots)) * seconds
-	m.strictTime += float64(m.slots) * seconds
+	m.idleTime += float64(min(idle, m.waiting)) * seconds
+	m.strictBusyTime += float64(min(m.busy, m.slots)) * seconds
+	m.strictTotalTime += float64(m.slots) * seconds
 }
 
-// gapWindow is how long one sample of the mean gap takes.
+// gapWindow is the length of a window for the mean gap.
 const gapWindow = 10 * time.Second
 
-// sample brings the gap up to date.
+// sample updates the gaps and the teams' time without service.
 func (m *meter) sample(now time.Duration) {
-	for i := range m.weights {
-		m.weights[i] = m.teams[i].service(now) / m.teams[i].share
+	for i := range m.weighted {
+		m.weighted[i] = m.teams[i].service(now) / m.teams[i].share
 	}
-	for i := range m.weights {
-		for j := i + 1; j < len(m.weights); j++ {
+	for i := range m.weighted {
+		for j := i + 1; j < len(m.weighted); j++ {
 			both := m.teams[i].waiting > 0 && m.teams[j].waiting > 0
-			m.whole.observe(i, j, both, m.weights[i]-m.weights[j])
-			m.window.observe(i, j, both, m.weights[i]-m.weights[j])
+			m.runGap.observe(i, j, both, m.weighted[i]-m.weighted[j])
+			m.windowGap.observe(i, j, both, m.weighted[i]-m.weighted[j])
 		}
 	}
 	for i := range m.teams {
-		m.teams[i].wait()
+		m.teams[i].sampleUnserved()
 	}
 	if now%gapWindow == 0 {
-		m.windowSum += m.window.gap
-		m.windows++
-		m.window = newGapMeter(len(m.weights))
+		m.windowGapSum += m.windowGap.gap
+		m.windowCount++
+		m.windowGap = newGapMeter(len(m.weighted))
 	}
 }
 
-// meanGap is the mean over the windows of the largest gap in each: less noisy
-// than the largest of the run.
+// meanGap returns the mean over all windows of the largest gap in each, which is less noisy
+// than the largest gap of the run.
 func (m *meter) meanGap() float64 {
-	if m.windows == 0 {
-		return m.window.gap
+	if m.windowCount == 0 {
+		return m.windowGap.gap
 	}
-	return m.windowSum / float64(m.windows)
+	return m.windowGapSum / float64(m.windowCount)
 }
 
-// point adds the teams' service to the plot's series.
-func (m *meter) point(now time.Duration) {
+// recordSeries appends the teams' weighted service to the plot's series.
+func (m *meter) recordSeries(now time.Duration) {
 	row := []float64{(now - warmUp).Seconds()}
 	for i := range m.teams {
 		row = append(row, m.teams[i].service(now)/m.teams[i].share)
@@ -152,17 +152,17 @@
 	if m.busyTime == 0 {
 		return 1
 	}
-	return m.busyTime / (m.busyTime + m.idleWaste)
+	return m.busyTime / (m.busyTime + m.idleTime)
 }
 
 func (m *meter) strictUtilisation() float64 {
-	if m.strictTime == 0 {
+	if m.strictTotalTime == 0 {
 		return 1
 	}
-	return m.strictBusy / m.strictTime
+	return m.strictBusyTime / m.strictTotalTime
 }
 
-// percentile returns the p-th part of values, 0 for none.
+// percentile returns the value at quantile p (0 to 1), or 0 if there are no values.
 func percentile(values []float64, p float64) float64 {
 	if len(values) == 0 {
 		return 0
--- a/experiment/outcome.go
+++ b/experiment/outcome.go
@@ -5,29 +5,31 @@
 	"sync"
 )
 
-// Outcome is what one design made of one load.
+// Outcome holds the measurements of one design under one load.
 type Outcome struct {
 	Design string `json:"design"`
-	// Gap is the largest weighted service gap of the run between two backlogged
-	// teams, MeanGap the mean of those in each ten seconds, both in slot seconds
-	// per unit of share.
+	// Gap is the largest weighted service gap between two backlogged teams over the run,
+	// MeanGap the mean of the largest gaps of all ten-second windows, both in slot seconds per
+	// unit of share.
 	Gap     float64 `json:"gap"`
 	MeanGap float64 `json:"meanGap"`
-	// Utilisation is busy slots by busy slots and those that stood idle beside a
-	// waiting request; StrictUtilisation is busy slots by all while any waits.
+	// Utilisation is busy slot time divided by busy slot time plus slot time idle beside a
+	// waiting request. StrictUtilisation is busy slot time divided by all slot time while any
+	// request waits.
 	Utilisation       float64 `json:"utilisation"`
 	StrictUtilisation float64 `json:"strictUtilisation"`
-	// Control traffic of one node, compressed and plain, in bytes a second.
+	// ControlBytes and ControlBytesPlain are the control traffic of one node, compressed and
+	// uncompressed, in bytes per second; Messages is its number of messages per second.
 	ControlBytes      float64 `json:"controlBytes"`
 	ControlBytesPlain float64 `json:"controlBytesPlain"`
 	Messages          float64 `json:"messages"`
-	// ControlCPU is the part of a core that one node's decisions take, coding
-	// of messages included.
+	// ControlCPU is the CPU of one node's decisions in cores, message encoding and decoding
+	// included.
 	ControlCPU float64 `json:"controlCPU"`
-	// SmallWaitP99 is the 99th percentile wait of small teams that ask for less
-	// than they are owed, in seconds.
+	// SmallWaitP99 is the 99th percentile wait, in seconds, of small teams whose demand is below
+	// their fair share.
 	SmallWaitP99 float64 `json:"smallWaitP99"`
-	// Waiting is how many requests waited at the end.
+	// Waiting is the number of requests waiting at the end of the run.
 	Waiting int `json:"waiting"`
 
 	series [][]float64
@@ -40,15 +42,15 @@
 	nodeSeconds := float64(len(r.nodes)) * l.Duration.Seconds()
 	return Outcome{
 		Design:            d.Name,
-		Gap:               r.meter.whole.gap,
+		Gap:               r.meter.runGap.gap,
 		MeanGap:           r.meter.meanGap(),
 		Utilisation:       r.meter.utilisation(),
 		StrictUtilisation: r.meter.strictUtilisation(),
-		ControlBytes:      float64(sum(r.wire.packed)) / nodeSeconds,
-		ControlBytesPlain: float64(sum(r.wire.plain)) / nodeSeconds,
-		Messages:          float64(r.wire.messages) / nodeSeconds,
+		ControlBytes:      float64(sum(r.traffic.compressed)) / nodeSeconds,
+		ControlBytesPlain: float64(sum(r.traffic.uncompressed)) / nodeSeconds,
+		Messages:          float64(r.traffic.messages) / nodeSeconds,
 		ControlCPU:        r.cpu.Seconds() / nodeSeconds,
-		SmallWaitP99:      r.smallWait(),
+		SmallWaitP99:      r.smallTeamWait(),
 		Waiting:           r.meter.waiting,
 		series:            r.meter.series,
 	}
@@ -62,8 +64,8 @@
 	return total
 }
 
-// smallWait gathers the waits of the small teams below their share.
-func (r *run) smallWait() float64 {
+// smallTeamWait returns the p99 wait of small teams with a demand below their fair share.
+func (r *run) smallTeamWait() float64 {
 	var waits []float64
 	for i, t := range r.load.Teams {
 		if t.Router >= 0 && t.Demand < 1 {
@@ -73,8 +75,8 @@
 	return percentile(waits, 0.99)
 }
 
-// RunSeeds measures a design under the loads of several seeds at once and
-// returns the mean of each figure.
+// RunSeeds measures a design under the loads of several seeds in parallel and returns the
+// mean of each measurement.
 func RunSeeds(load func(seed uint64) Load, seeds int, d Design) Outcome {
 	outcomes := make([]Outcome, seeds)
 	var wg sync.WaitGroup
@@ -102,8 +104,8 @@
 	o.Waiting = max(o.Waiting, other.Waiting)
 }
 
-// WithFlood returns the load without quiet phases, in which the first team asks
-// for times as much as it did.
+// WithFlood returns the load without off-peak phases and with the first team's demand
+// multiplied by times.
 func (l Load) WithFlood(times float64) Load {
 	l.PhaseLength = 0
 	l.Teams = slices.Clone(l.Teams)
--- a/experiment/short_test.go
+++ b/experiment/short_requests_test.go
@@ -5,10 +5,9 @@
 	"time"
 )
 
-// Requests are as short as a few reports' age, and routers run out of slots and
-// get others' all the time. What still waits after slots came must be asked for
-// anew: a router that asked once and thought that was enough left its requests
-// beside idle slots.
+// Guards against routers that request slots only once. Requests as short as the age of a few
+// reports make routers continually run out of slots and get slots of others. A router that
+// didn't repeat the request for what still waited after new slots left requests beside idle slots.
 func TestShortRequestsLeaveFewSlotsIdle(t *testing.T) {
 	load := func(seed uint64) Load {
 		return Load{
--- a/experiment/wire.go
+++ b/experiment/wire.go
@@ -9,53 +9,53 @@
 	"github.com/aspenswitch/aspenswitch/peer"
 )
 
-// wire counts the bytes between nodes as the daemon sends them: JSON-RPC
-// notifications, each direction of each pair compressed as one stream.
-type wire struct {
-	nodes    int
-	plain    []int
-	packed   []int
-	messages int
-	streams  map[int]*flate.Writer
+// trafficMeter counts the bytes between nodes as the daemon sends them: JSON-RPC
+// notifications, with one compressed stream per direction of each pair of nodes.
+type trafficMeter struct {
+	nodes        int
+	uncompressed []int
+	compressed   []int
+	messages     int
+	streams      map[int]*flate.Writer
 }
 
-func newWire(nodes int) *wire {
-	return &wire{
-		nodes: nodes, plain: make([]int, nodes), packed: make([]int, nodes),
+func newTrafficMeter(nodes int) *trafficMeter {
+	return &trafficMeter{
+		nodes: nodes, uncompressed: make([]int, nodes), compressed: make([]int, nodes),
 		streams: map[int]*flate.Writer{},
 	}
 }
 
-// counter adds what is written to a node's bytes.
-type counter struct{ bytes *int }
+// byteCounter is a writer that adds the number of bytes written to *bytes.
+type byteCounter struct{ bytes *int }
 
-func (c counter) Write(p []byte) (int, error) {
+func (c byteCounter) Write(p []byte) (int, error) {
 	*c.bytes += len(p)
 	return len(p), nil
 }
 
-// maxPackedNodes bounds the compressors that are kept: one for each pair.
-const maxPackedNodes = 16
+// maxCompressedNodes bounds the number of compressors, which is one for each ordered pair of nodes.
+const maxCompressedNodes = 16
 
-func (w *wire) count(from, to int, params []byte) {
+func (w *trafficMeter) count(from, to int, params []byte) {
 	w.messages++
 	message := fmt.Sprintf(`{"jsonrpc":"2.0","method":"sync","params":%s}`, params)
-	w.plain[from] += len(message)
-	if w.nodes > maxPackedNodes {
+	w.uncompressed[from] += len(message)
+	if w.nodes > maxCompressedNodes {
 		return
 	}
 	s, ok := w.streams[from*w.nodes+to]
 	if !ok {
-		s, _ = flate.NewWriter(counter{&w.packed[from]}, peer.CompressionLevel)
+		s, _ = flate.NewWriter(byteCounter{&w.compressed[from]}, peer.CompressionLevel)
 		w.streams[from*w.nodes+to] = s
 	}
 	_, _ = io.WriteString(s, message)
 	_ = s.Flush()
 }
 
-// reset forgets the bytes, not what the compressors have seen.
-func (w *wire) reset() {
-	clear(w.plain)
-	clear(w.packed)
+// reset clears the counts but keeps the state of the compressors.
+func (w *trafficMeter) reset() {
+	clear(w.uncompressed)
+	clear(w.compressed)
 	w.messages = 0
 }
