--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Two commands matter: `make demo` shows the whole path, `make test` tests it.
+# Main targets: `make demo` runs a whole fleet on loopback, `make test` runs all tests.
 GO ?= go
 BIN := bin
 
@@ -10,11 +10,11 @@
 demo: build
 	./demo/run.sh $(BIN)
 
-# The same with a router that is stopped and woken late.
+# Runs the demo with a router that is paused and resumed instead of killed.
 demo-freeze: build
 	./demo/run.sh $(BIN) freeze
 
-# Ten seeds of the fault soak that nobody has played; see docs/SOAK.md.
+# Runs the fault soak with ten new seeds, derived from the time; see docs/SOAK.md.
 soak: build
 	$(BIN)/aspenswitch-soak --daemon $(BIN)/aspenswitchd --first $$(date +%s) --seeds 10
 
--- a/demo/run.sh
+++ b/demo/run.sh
@@ -1,8 +1,8 @@
 #!/bin/sh
-# Runs the whole path on loopback as separate processes: a platform, four
-# engines, a plain service and three routers, with callers that check every
-# answer while one router is killed, or with "freeze" as second argument stopped for
-# six seconds and woken. Ends with what aspenswitch-load says.
+# Runs a whole fleet on loopback as separate processes: a platform, four engines, a
+# plain service and three routers. Callers check every response while one router is
+# killed or, with "freeze" as second argument, paused for six seconds and resumed.
+# Prints the report of aspenswitch-load and exits with its status.
 set -eu
 bin=$1
 fault=${2:-kill}
@@ -17,7 +17,7 @@
 }
 trap stop_all EXIT INT TERM
 
-# start NAME COMMAND...: runs a process in the background, its log in the folder.
+# start NAME COMMAND...: runs a process in the background, and writes its log to $dir/NAME.log.
 start() {
 	name=$1
 	shift
@@ -82,7 +82,7 @@
 	(sleep 4 && kill -9 "$pid_vm3") &
 	;;
 freeze)
-	echo "sending requests; vm3 is stopped after 2 seconds and woken after 8"
+	echo "sending requests; vm3 is paused after 2 seconds and resumed after 8"
 	(sleep 2 && kill -STOP "$pid_vm3" && sleep 6 && kill -CONT "$pid_vm3") &
 	;;
 *)
