--- a/experiment/bound_test.go
+++ b/experiment/bound_test.go
@@ -26,7 +26,7 @@
 }
 
 // Thirty random loads, shares and assignments of teams to routers: the gap must stay within the
-// bound, no waiting team may starve, and hardly any slot may idle while a request waits.
+// bound, no waiting team may starve, and hardly any slot time may be idle while a request waits.
 func TestGapStaysWithinTheBound(t *testing.T) {
 	for seed := range uint64(30) {
 		l := randomLoad(seed)
--- a/experiment/short_requests_test.go
+++ b/experiment/short_requests_test.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// Guards against routers that request slots only once. Requests as short as the age of a few
-// reports make routers continually run out of slots and get slots of others. A router that
-// didn't repeat the request for what still waited after new slots left requests beside idle slots.
+// Guards against routers that request slots only once. Requests are as short as the age of a few
+// reports, so routers continually run out of slots and get slots from others. A router that didn't
+// ask again for its remaining waiting requests after new slots arrived left them waiting while
+// slots were idle.
 func TestShortRequestsLeaveFewSlotsIdle(t *testing.T) {
 	load := func(seed uint64) Load {
 		return Load{
--- a/lab/busy_router_test.go
+++ b/lab/busy_router_test.go
@@ -40,10 +40,10 @@
 	return lab.Simulate(l, fleet, lab.Home)
 }
 
-// Guards against a team on one small router getting less than half of another flooding
-// team's service over six seconds. Refusals of its flood (ten times its share) use up the CPU,
-// home replies arrive late, and the router sheds requests within the share (logs "team" and
-// "share": 3,734 in a second, none submitted to the home, the team within its share).
+// Guards against a team on one small router getting less than half of another flooding team's service
+// over six seconds. Refusals of its flood (ten times its share) use up the CPU, home replies arrive late,
+// and the router sheds requests within the share (observed in the log lines "team" and "share": 3,734
+// requests shed in one second, none submitted to the home, although the team was within its share).
 func TestTeamAtABusyRouterGetsItsShare(t *testing.T) {
 	g := NewWithT(t)
 	for seed := range uint64(4) {
--- a/lab/fairness.go
+++ b/lab/fairness.go
@@ -33,9 +33,9 @@
 }
 
 // worstRatio returns the lowest ratio of service to due of any team in any window. A window
-// counts only if the team was underserved in each of its seconds; what is due is the lesser
-// of the team's requests and the best-served team's service. It returns 1 if no window
-// counts; users call a ratio below one half unfair.
+// counts only if the team was underserved in each of its seconds; what is due is the sum, over
+// the seconds, of the lesser of the team's requests and the best-served team's service in that
+// second. It returns 1 if no window counts; users call a ratio below one half unfair.
 func (m *fairnessMeter) worstRatio() float64 { return m.trimmedWorstRatio(0) }
 
 // trimmedWorstRatio is worstRatio with that many of the largest requests subtracted from what
--- a/lab/lab_test.go
+++ b/lab/lab_test.go
@@ -108,8 +108,9 @@
 }
 
 // The largest team alone requests more than the engines can serve, two smaller ones flood in turn,
-// and refused callers retry. Fair shares must be served, small teams keep their worth, and no
-// waiting team may get less than half of another's service (over six seconds, by second).
+// and refused callers retry. Fair shares must be served, small teams keep their worth, and no waiting
+// team may get less than half of the service due: the lesser of its requests and the best-served
+// team's service, computed for each second and summed over six seconds.
 func TestFloodsOfTheGrownDeploymentAreSharedOut(t *testing.T) {
 	g := NewWithT(t)
 	for _, seed := range seeds {
--- a/lab/load.go
+++ b/lab/load.go
@@ -37,8 +37,8 @@
 	router       int
 }
 
-// arrivals draws the requests of a load for a number of routers. A team's callers use at
-// most two routers, as they would behind a load balancer that hashes.
+// arrivals draws the requests of a load for a number of routers. A team's callers use two
+// neighbouring routers (one if there is only one), similar to a load balancer that hashes by team.
 func (l Load) arrivals(routers int) []arrival {
 	rnd := rand.New(rand.NewPCG(l.Seed, l.Seed))
 	weights := make([]float64, l.Sheet.Teams)
--- a/lab/router.go
+++ b/lab/router.go
@@ -9,8 +9,8 @@
 )
 
 // CPU time that a router spends on a request. Under a flood it is 50 microseconds for a
-// request that the router sheds, three times that for one that a home refuses, and 300 for
-// a stream that is served.
+// request that the router sheds, 150 microseconds for one that a home refuses, and
+// 300 microseconds for a stream that is served.
 const (
 	parseCPU    = 30 * time.Microsecond
 	refuseCPU   = 20 * time.Microsecond
--- a/lab/simulation.go
+++ b/lab/simulation.go
@@ -259,7 +259,7 @@
 	s.engineByID[d.Upstream].submit(r.engineSequence, s.engineByID[d.CopyFrom])
 }
 
-// retryDelayDivisor limits a caller's retry delay to this fraction (1/n) of its remaining time.
+// A caller's retry delay is at most its remaining time divided by retryDelayDivisor.
 const retryDelayDivisor = 3
 
 // refused ends a request, or schedules a retry after retryAfter.
--- a/load/check.go
+++ b/load/check.go
@@ -6,7 +6,8 @@
 	"github.com/aspenswitch/aspenswitch/jsonc"
 )
 
-// maxRequestsPerSecond bounds the rate of one team, since the load goes to loopback only.
+// maxRequestsPerSecond bounds the rate of one team. The load generator is meant for routers on
+// loopback only.
 const maxRequestsPerSecond = 5000
 
 func (p *Plan) checkTeam(doc *jsonc.Document, i int, t Team) {
--- a/soak/check.go
+++ b/soak/check.go
@@ -130,8 +130,8 @@
 	c.report("answered in time", req.Ended, "%s ended after %v at router %d", req.ID, took, req.Router)
 }
 
-// closeRaceWindow is how long a request may be in flight when it races with the close of
-// its connection.
+// closeRaceWindow is how long after it was sent a request may end without a response or a run,
+// because the router was closing the connection at the same time.
 const closeRaceWindow = 200 * time.Millisecond
 
 // noCut: a graceful stop, reload or configuration change cuts off no request that was read.
--- a/soak/check_upstreams.go
+++ b/soak/check_upstreams.go
@@ -9,7 +9,8 @@
 // crashed its third upstream.
 const maxLateSends = 3
 
-// crashLimit: a request that has crashed three upstreams is sent at most maxLateSends more times.
+// crashLimit: a request that has crashed three upstreams is sent at most maxLateSends times
+// later than faultMargin after the third crash.
 func (c *checker) crashLimit() {
 	crashTimes := map[string][]time.Duration{}
 	for _, crash := range c.h.Crashes {
--- a/soak/config.go
+++ b/soak/config.go
@@ -61,6 +61,7 @@
 	return nil
 }
 
-// faultMargin is the time after a fault before time bounds apply to the affected
-// router again. Deployments use the same margin.
+// faultMargin is the time after a fault before time bounds apply to the affected router again.
+// It covers startup after a kill, whose interval ends when the process is restarted, and
+// reconnecting after a link or store fault.
 const faultMargin = 3 * time.Second
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -125,7 +125,8 @@
 		if w.max > w.min {
 			f.ActiveFor += time.Duration(rnd.Int64N(int64(w.max - w.min)))
 		}
-		// No fault extends into the settle time, in which the fleet must recover.
+		// A fault's ActiveFor ends by cfg.Duration, before the settle time, in which the fleet
+		// must recover. That of a repeat may end up to 500 ms later, which delays the settle time.
 		f.ActiveFor = min(f.ActiveFor, cfg.Duration-at)
 		return f
 	}
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -48,10 +48,10 @@
 	}
 }
 
-// Kills all routers right after a key was revoked and a route was moved; they lose their
-// state. With the platform up, the old key and route must not come back and the fleet must
-// recover within seconds. With it down, routers have no configuration: they must reject
-// requests as not run, and serve again once the platform is back.
+// Kills all routers right after a key was revoked and a route was moved; they lose their state.
+// With the platform up, the old key must not be served after its revocation bound, the route must
+// not move back, and the fleet must recover within seconds. With it down, routers have no
+// configuration: they must reject requests as not run, and serve again once the platform is back.
 func TestFleetRecoversAfterAllRoutersAreKilled(t *testing.T) {
 	daemon := buildDaemon(t)
 	for slot, down := range []time.Duration{0, 3 * time.Second} {
--- a/soak/warmup.go
+++ b/soak/warmup.go
@@ -17,7 +17,8 @@
 	// crashFactor is the multiple of the bound above which a warming upstream crashes.
 	crashFactor = 1.5
 	// detectionTime is how long routers may take to detect that an upstream under load has
-	// turned cold. Until then they can't send it less than its current load.
+	// turned cold. Until they detect it, they continue to send it its current load, so the
+	// bound isn't enforced before.
 	detectionTime = 500 * time.Millisecond
 )
 
@@ -61,7 +62,8 @@
 }
 
 // evacuate evacuates a failure domain for the duration of the fault. For even variants its
-// upstreams are cold afterwards, and publish that only after this duration.
+// upstreams start to warm up when the fault ends, and publish that only then, just before the
+// evacuation is withdrawn.
 func (d *deployment) evacuate(f Fault) error {
 	domain := domainOf(f.Target)
 	if !d.op.evacuate(domain) {
