--- a/fleet/quarantine.go
+++ b/fleet/quarantine.go
@@ -63,7 +63,7 @@
 // ReportSuccess implements gateway.Placer.
 func (n *Node) ReportSuccess(id quarantine.ContentID, from dispatch.Incarnation) {
 	n.quarantine.addSuccess(time.Duration(n.now()), id, incarnationHash(from))
-	if n.Quarantine().Contains(id) {
+	if n.Quarantine().HasCrashes(id) {
 		n.post(successEvent{id: id, reason: successReason})
 	}
 }
@@ -78,7 +78,7 @@
 func (q *quarantineState) recentlySucceeded(now time.Duration, id quarantine.ContentID) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.successes.Contains(now, id)
+	return q.successes.SucceededRecently(now, id)
 }
 
 // successReason is logged when a success resets the status of a content.
@@ -127,7 +127,7 @@
 }
 
 func (n *Node) recordSuccess(now boottime.Time, e successEvent) {
-	notice, changed := n.quarantine.table.RecordSuccess(time.Duration(now), e.id)
+	notice, changed := n.quarantine.table.Clear(time.Duration(now), e.id)
 	if changed {
 		n.announce(now, notice, e.reason)
 	}
--- a/fleet/warmup.go
+++ b/fleet/warmup.go
@@ -12,7 +12,7 @@
 // be cold although its entry doesn't show it yet.
 func warmUntil(v *registry.View, u *registry.Upstream, limit warmup.Limit) boottime.Time {
 	until := u.WarmUpEnd
-	if reopened := v.ReopenedAt(u.FailureDomain); reopened != 0 {
+	if reopened := v.EvacuationWithdrawnAt(u.FailureDomain); reopened != 0 {
 		until = max(until, reopened.Add(limit.Duration))
 	}
 	return until
--- a/gateway/fakes_test.go
+++ b/gateway/fakes_test.go
@@ -141,7 +141,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.table != nil {
-		p.table.RecordSuccess(time.Hour, id)
+		p.table.Clear(time.Hour, id)
 	}
 }
 
--- a/idempotency/claim.go
+++ b/idempotency/claim.go
@@ -28,8 +28,8 @@
 	Unknown
 )
 
-// Claim counts the votes on one key for one owner.
-type Claim struct {
+// VoteCount counts the votes on one key for one owner.
+type VoteCount struct {
 	cfg    Config
 	voters int
 	// tolerance is the number of VMs by which other routers' lists may differ.
@@ -41,15 +41,15 @@
 	wonAt      time.Time
 }
 
-// NewClaim returns a pending claim that is put to the given number of voters.
-func NewClaim(cfg Config, voters, tolerance int) *Claim {
-	return &Claim{cfg: cfg, voters: voters, tolerance: tolerance}
+// NewVoteCount returns a pending claim that is put to the given number of voters.
+func NewVoteCount(cfg Config, voters, tolerance int) *VoteCount {
+	return &VoteCount{cfg: cfg, voters: voters, tolerance: tolerance}
 }
 
-func (c *Claim) quorum() int { return Quorum(c.voters, c.tolerance) }
+func (c *VoteCount) quorum() int { return Quorum(c.voters, c.tolerance) }
 
 // Add counts a voter's reply.
-func (c *Claim) Add(now time.Time, v Vote) {
+func (c *VoteCount) Add(now time.Time, v Vote) {
 	c.replies++
 	switch {
 	case v.Granted:
@@ -64,14 +64,14 @@
 }
 
 // AddMissing counts a voter that did not reply.
-func (c *Claim) AddMissing() { c.replies++ }
+func (c *VoteCount) AddMissing() { c.replies++ }
 
 // Result returns the current state of the claim.
 //
 // A granted vote means that the voter had not voted for another owner, so any
 // other quorum consists of the remaining voters and of up to tolerance voters
 // from a different list. If these are too few for a quorum, the key did not run.
-func (c *Claim) Result() Result {
+func (c *VoteCount) Result() Result {
 	switch {
 	case c.granted >= c.quorum():
 		return Won
@@ -86,12 +86,12 @@
 }
 
 // OtherOwner returns another owner that holds a vote, if there is one.
-func (c *Claim) OtherOwner() (Owner, bool) { return c.otherOwner, c.taken }
+func (c *VoteCount) OtherOwner() (Owner, bool) { return c.otherOwner, c.taken }
 
 // Usable reports whether a won claim may still be used. Check it immediately
 // before sending: a process that was paused after winning its claim may resume
 // when the voters' records have expired and another router has run the key.
-func (c *Claim) Usable(now time.Time) bool {
+func (c *VoteCount) Usable(now time.Time) bool {
 	// The monotonic clock may stop while the VM is suspended; the wall clock
 	// includes that time once it is synchronized again.
 	age := max(now.Sub(c.wonAt), now.Round(0).Sub(c.wonAt.Round(0)))
--- a/idempotency/idempotency_test.go
+++ b/idempotency/idempotency_test.go
@@ -70,7 +70,7 @@
 func TestClaimEndsBeforeVotersForget(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1_700_000_000, 0)
-	c := idempotency.NewClaim(cfg, 3, 0)
+	c := idempotency.NewVoteCount(cfg, 3, 0)
 	c.Add(now, idempotency.Vote{Granted: true})
 	g.Expect(c.Usable(now)).To(BeFalse())
 	c.Add(now, idempotency.Vote{Granted: true})
@@ -85,7 +85,7 @@
 func TestNotRunIsToldOnlyWhereItIsProved(t *testing.T) {
 	g := NewWithT(t)
 	claim := func(voters, granted, abstained int) idempotency.Result {
-		c := idempotency.NewClaim(cfg, voters, 0)
+		c := idempotency.NewVoteCount(cfg, voters, 0)
 		for range granted {
 			c.Add(time.Now(), idempotency.Vote{Granted: true})
 		}
@@ -127,7 +127,7 @@
 		k := key(now)
 		runs := 0
 		for attempt := range uint64(rapid.IntRange(1, 12).Draw(t, "attempts")) {
-			c := idempotency.NewClaim(cfg, n, 0)
+			c := idempotency.NewVoteCount(cfg, n, 0)
 			for i, v := range voters {
 				now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond)
 				switch rapid.SampledFrom([]string{"vote", "vote", "vote", "lost", "unheard", "restart"}).Draw(t, fmt.Sprint("voter", i)) {
--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -150,8 +150,8 @@
 		}
 		u.running = slices.DeleteFunc(u.running, func(other *simRequest) bool { return other == r })
 		s.successes[r.router].Add(s.now, r.id)
-		if s.tables[r.router].View().Contains(r.id) {
-			s.report(r.router, r.id, func(t *quarantine.Table) (quarantine.Notice, bool) { return t.RecordSuccess(s.now, r.id) })
+		if s.tables[r.router].View().HasCrashes(r.id) {
+			s.report(r.router, r.id, func(t *quarantine.Table) (quarantine.Notice, bool) { return t.Clear(s.now, r.id) })
 		}
 	})
 }
@@ -206,8 +206,8 @@
 
 // clearIfSucceeded reports a success that the router observed shortly before the notice.
 func (s *simulation) clearIfSucceeded(router int, notice quarantine.Notice) {
-	if notice.Status != quarantine.Normal && s.successes[router].Contains(s.now, notice.ID) {
-		s.report(router, notice.ID, func(t *quarantine.Table) (quarantine.Notice, bool) { return t.RecordSuccess(s.now, notice.ID) })
+	if notice.Status != quarantine.Normal && s.successes[router].SucceededRecently(s.now, notice.ID) {
+		s.report(router, notice.ID, func(t *quarantine.Table) (quarantine.Notice, bool) { return t.Clear(s.now, notice.ID) })
 	}
 }
 
--- a/quarantine/successes.go
+++ b/quarantine/successes.go
@@ -39,8 +39,8 @@
 	s.next = (s.next + 1) % maxSuccesses
 }
 
-// Contains reports whether a request with the content succeeded within SuccessWindow.
-func (s *RecentSuccesses) Contains(now time.Duration, id ContentID) bool {
+// SucceededRecently reports whether a request with the content succeeded within SuccessWindow.
+func (s *RecentSuccesses) SucceededRecently(now time.Duration, id ContentID) bool {
 	at, known := s.times[id]
 	return known && now-at <= SuccessWindow
 }
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -101,10 +101,10 @@
 	return t.notice(now, id, e), true
 }
 
-// RecordSuccess resets a content to Normal after a request with it received a complete
+// Clear resets a content to Normal after a request with it received a complete
 // response, or after an operator released it. It returns a notice for the other routers if
 // the status has changed.
-func (t *Table) RecordSuccess(now time.Duration, id ContentID) (Notice, bool) {
+func (t *Table) Clear(now time.Duration, id ContentID) (Notice, bool) {
 	e := t.entries[id]
 	if e == nil {
 		return Notice{}, false
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -68,12 +68,12 @@
 			for i := range 5 {
 				now := start + time.Duration(i)*second
 				table.RecordCrash(now, newCrash(id, uint32(i), now))
-				table.RecordSuccess(now+second/2, id)
+				table.Clear(now+second/2, id)
 			}
 		},
 		"crashes of requests sent before the last success": func(table *quarantine.Table, id quarantine.ContentID) {
 			table.RecordCrash(start, newCrash(id, 1, start))
-			table.RecordSuccess(start, id)
+			table.Clear(start, id)
 			for i := range 5 {
 				table.RecordCrash(start+time.Duration(i)*second, quarantine.Crash{ID: id, Upstream: uint32(2 + i), Sent: start - second})
 			}
@@ -123,7 +123,7 @@
 	now := recordCrashes(table, id, start, 1, 3) + cfg.TrialDelays[0]
 	g.Expect(table.GrantTrial(now, id)).To(BeTrue())
 	g.Expect(table.GrantTrial(now+cfg.TrialTimeout, id)).To(BeTrue(), "the first trial has timed out")
-	notice, changed := table.RecordSuccess(now+cfg.TrialTimeout, id)
+	notice, changed := table.Clear(now+cfg.TrialTimeout, id)
 	g.Expect(changed).To(BeTrue())
 	g.Expect(notice.Status).To(Equal(quarantine.Normal))
 	g.Expect(table.View().Status(id)).To(Equal(quarantine.Normal))
@@ -173,7 +173,7 @@
 			changed := false
 			switch rapid.IntRange(0, 3).Draw(rt, "what") {
 			case 0:
-				notice, changed = table.RecordSuccess(now, id)
+				notice, changed = table.Clear(now, id)
 			case 1:
 				if len(notices) > 0 {
 					table.Apply(now, notices[rapid.IntRange(0, len(notices)-1).Draw(rt, "notice")])
--- a/quarantine/view.go
+++ b/quarantine/view.go
@@ -15,9 +15,9 @@
 // Empty reports whether the view has no contents, so that no lookup is needed.
 func (v *View) Empty() bool { return v == nil || len(v.statuses) == 0 }
 
-// Contains reports whether crashes are counted against the content, so that a success
+// HasCrashes reports whether crashes are counted against the content, so that a success
 // must be reported.
-func (v *View) Contains(id ContentID) bool {
+func (v *View) HasCrashes(id ContentID) bool {
 	if v == nil {
 		return false
 	}
--- a/registry/evacuation_test.go
+++ b/registry/evacuation_test.go
@@ -31,11 +31,11 @@
 	g.Expect(v.Upstream("a")).To(BeNil())
 	g.Expect(v.UpstreamEvacuated("late")).To(BeTrue())
 	g.Expect(v.Count("llm")).To(Equal(3))
-	g.Expect(v.ReopenedAt("north")).To(BeZero())
+	g.Expect(v.EvacuationWithdrawnAt("north")).To(BeZero())
 
 	r.RecordEvacuation(receivedAt.Add(time.Second), "north", true, 7)
 	g.Expect(r.View().Ready("llm")).To(HaveLen(3))
-	g.Expect(r.View().ReopenedAt("north")).To(Equal(receivedAt.Add(time.Second)))
+	g.Expect(r.View().EvacuationWithdrawnAt("north")).To(Equal(receivedAt.Add(time.Second)))
 }
 
 // Guards against delayed or repeated orders that restart or end an evacuation.
--- a/registry/view.go
+++ b/registry/view.go
@@ -53,9 +53,9 @@
 	return u != nil && v.isEvacuated(u.FailureDomain)
 }
 
-// ReopenedAt returns when this router learned that the evacuation of a failure domain was
-// withdrawn, or 0 if it has seen no withdrawal.
-func (v *View) ReopenedAt(domain string) boottime.Time { return v.reopened[domain] }
+// EvacuationWithdrawnAt returns when this router received the withdrawal of a failure domain's
+// evacuation, or 0 if it has received none.
+func (v *View) EvacuationWithdrawnAt(domain string) boottime.Time { return v.reopened[domain] }
 
 func (v *View) isEvacuated(domain string) bool {
 	_, evacuated := v.evacuated[domain]
--- a/router/claim.go
+++ b/router/claim.go
@@ -27,7 +27,7 @@
 	key    string
 	owner  idempotency.Owner
 	voters []string
-	votes  *idempotency.Claim
+	votes  *idempotency.VoteCount
 	// list is the list that the voters were chosen from; tolerance is the number
 	// of VMs by which other routers' lists may differ from it.
 	list      *vmList
@@ -123,10 +123,10 @@
 
 // collectVotes queries all voters in parallel and returns as soon as the result is
 // decided.
-func (r *Router) collectVotes(ctx context.Context, keyClaim *KeyClaim) *idempotency.Claim {
+func (r *Router) collectVotes(ctx context.Context, keyClaim *KeyClaim) *idempotency.VoteCount {
 	ctx, cancel := context.WithTimeout(ctx, voteTimeout)
 	defer cancel()
-	claim := idempotency.NewClaim(r.cfg.Idempotency, len(keyClaim.voters), keyClaim.tolerance)
+	claim := idempotency.NewVoteCount(r.cfg.Idempotency, len(keyClaim.voters), keyClaim.tolerance)
 	votes := make(chan *idempotency.Vote, len(keyClaim.voters))
 	for _, name := range keyClaim.voters {
 		go func() { votes <- r.requestVote(ctx, name, keyClaim) }()
