--- a/availability/doc.go
+++ b/availability/doc.go
@@ -1,3 +1,3 @@
 // Package availability tracks the availability that upstreams report in their answers. It
-// performs no I/O and starts no goroutines; callers pass in the current time.
+// performs no I/O and starts no goroutines; the time is always an argument.
 package availability
--- a/fleet/warmup.go
+++ b/fleet/warmup.go
@@ -12,8 +12,8 @@
 // be cold although its entry doesn't show it yet.
 func warmUntil(v *registry.View, u *registry.Upstream, limit warmup.Limit) boottime.Time {
 	until := u.WarmUpEnd
-	if reopened := v.EvacuationWithdrawnAt(u.FailureDomain); reopened != 0 {
-		until = max(until, reopened.Add(limit.Duration))
+	if withdrawnAt := v.EvacuationWithdrawnAt(u.FailureDomain); withdrawnAt != 0 {
+		until = max(until, withdrawnAt.Add(limit.Duration))
 	}
 	return until
 }
@@ -35,13 +35,13 @@
 	recentPeakWindow = 2 * time.Minute
 )
 
-// recentPeak is the largest number of routers within recentPeakWindow.
-type recentPeak struct {
+// peakMembers is the largest number of routers within recentPeakWindow.
+type peakMembers struct {
 	peak int
 	at   boottime.Time
 }
 
-func (s *recentPeak) observe(now boottime.Time, routers int) {
+func (s *peakMembers) observe(now boottime.Time, routers int) {
 	if routers >= s.peak || now.Sub(s.at) > recentPeakWindow {
 		s.peak, s.at = routers, now
 	}
@@ -59,7 +59,7 @@
 	if reachable == 1 && n.hasOtherSeeds() {
 		return false
 	}
-	return 2*reachable > n.recentPeak.peak
+	return 2*reachable > n.recentPeakMembers.peak
 }
 
 func (n *Node) hasOtherSeeds() bool {
--- a/limits/adaptive.go
+++ b/limits/adaptive.go
@@ -1,5 +1,5 @@
 // Package limits provides an adaptive concurrency limit for upstreams and load shedding for
-// routers. It performs no I/O and starts no goroutines; callers pass in the current time.
+// routers. It performs no I/O and starts no goroutines; the time is always an argument.
 //
 // An engine admits requests in order of arrival, so requests in its own queue no longer follow
 // the scheduler's order. AdaptiveLimit keeps that queue empty by following the engine's load
--- a/limits/allowances.go
+++ b/limits/allowances.go
@@ -15,7 +15,9 @@
 }
 
 // Allowances limits a router's admission requests to the rates that the homes allow, so that it
-// doesn't send requests that they would refuse. It has a token bucket for each team at each home,
+// doesn't send requests that they would refuse. An allowance is the rate, in tokens per second, at
+// which a home lets this router request admission for a team. It exceeds the team's share of the
+// upstreams (see overloadedFraction). Allowances has a token bucket for each team at each home,
 // refilled at the rate that the home last returned. The zero value imposes no limits. It isn't
 // safe for concurrent use.
 type Allowances struct {
--- a/limits/shedder.go
+++ b/limits/shedder.go
@@ -4,9 +4,10 @@
 
 // ShedConfig configures a Shedder.
 type ShedConfig struct {
-	// A router whose lag reaches LagThreshold is overloaded. It requests no more than its share
-	// for a team with an allowance, and sheds part of the streaming requests of a heavy team
-	// without one. Above MaxStreamLag it sheds all streaming requests.
+	// A router whose lag reaches LagThreshold is overloaded. It uses only overloadedFraction of
+	// a team's allowance, which is no more than the team's share, and sheds part of the
+	// streaming requests of a heavy team without an allowance. Above MaxStreamLag it sheds all
+	// streaming requests.
 	LagThreshold, MaxStreamLag time.Duration
 }
 
@@ -21,7 +22,7 @@
 const (
 	// NotShed means that the request isn't refused; its home decides on admission.
 	NotShed ShedReason = iota
-	// OverShare means that the team has used its share.
+	// OverShare means that the team has used up this router's allowance.
 	OverShare
 	// Overloaded means that the router's lag reaches a limit of ShedConfig.
 	Overloaded
@@ -51,7 +52,7 @@
 	Share ShareKey
 	// Tokens is the number of tokens that the request counts against its team's share.
 	Tokens float64
-	// Streaming is set for requests that engines answer.
+	// Streaming is set for requests on streaming routes.
 	Streaming bool
 	// Lag is how long work currently waits at the router before it is processed.
 	Lag time.Duration
--- a/quarantine/status.go
+++ b/quarantine/status.go
@@ -11,7 +11,7 @@
 	Normal Status = iota
 	// Suspect requests are sent but not retried after a crash.
 	Suspect
-	// Quarantined requests are rejected.
+	// Quarantined requests are refused, except for trials.
 	Quarantined
 )
 
@@ -27,7 +27,8 @@
 	}
 }
 
-// Crash reports that an upstream closed the connection while handling a request.
+// Crash reports one request that was interrupted because its upstream closed the connection.
+// A crash of the upstream's process yields one Crash for each request that it was handling.
 type Crash struct {
 	ID ContentID
 	// Upstream identifies the upstream's incarnation.
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -30,8 +30,9 @@
 	crashes   int
 	upstreams []uint32
 	lastCrash time.Duration
-	// lastSuccess is when a request with the content last received a complete response.
-	lastSuccess time.Duration
+	// clearedAt is when the content was last reset to Normal: by a complete response, an
+	// operator's release or another router's notice.
+	clearedAt time.Duration
 	// failedTrials is the number of failed trials in the current quarantine; the next trial
 	// is due at nextTrialAt.
 	failedTrials int
@@ -62,7 +63,7 @@
 			return Notice{}, false
 		}
 	}
-	if c.Sent < e.lastSuccess || c.Sent < e.lastCrash {
+	if c.Sent < e.clearedAt || c.Sent < e.lastCrash {
 		return Notice{}, false
 	}
 	if e.status == Quarantined {
@@ -120,9 +121,9 @@
 	return t.notice(now, id, e), true
 }
 
-// reset clears the crashes and records a success.
+// reset clears the crashes and sets clearedAt.
 func (e *entry) reset(now time.Duration) {
-	*e = entry{version: e.version, expires: e.expires, lastSuccess: now}
+	*e = entry{version: e.version, expires: e.expires, clearedAt: now}
 }
 
 // Apply merges a notice from another router. It reports whether the status of the content
--- a/quarantine/trial.go
+++ b/quarantine/trial.go
@@ -14,7 +14,7 @@
 // is sent to find out whether the content still crashes upstreams.
 //
 // Quarantined requests can't succeed, since they aren't sent. Without trials, a content that
-// was interrupted by unrelated crashes would be rejected until its quarantine expires.
+// was interrupted by unrelated crashes would be refused until its quarantine expires.
 func (t *Table) TrialDue(now time.Duration, id ContentID) bool {
 	e := t.entries[id]
 	if e == nil || e.status != Quarantined || now < e.nextTrialAt {
--- a/registry/evacuation_test.go
+++ b/registry/evacuation_test.go
@@ -42,26 +42,26 @@
 func TestNewestOrderOfAnEvacuationHolds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		type order struct {
-			revision int64
-			ended    bool
+			revision  int64
+			withdrawn bool
 		}
 		n := rapid.IntRange(1, 6).Draw(rt, "orders")
 		orders := make([]order, n)
 		for i := range orders {
-			orders[i] = order{revision: int64(i + 1), ended: rapid.Bool().Draw(rt, "ended")}
+			orders[i] = order{revision: int64(i + 1), withdrawn: rapid.Bool().Draw(rt, "ended")}
 		}
 		r := registry.New()
 		r.Put(receivedAt, newEntryInDomain("a", "north", 1))
 		for _, o := range rapid.Permutation(append(orders, orders...)).Draw(rt, "order") {
-			r.RecordEvacuation(receivedAt, "north", o.ended, o.revision)
+			r.RecordEvacuation(receivedAt, "north", o.withdrawn, o.revision)
 		}
-		if available := r.View().Upstream("a") != nil; available != orders[n-1].ended {
+		if available := r.View().Upstream("a") != nil; available != orders[n-1].withdrawn {
 			rt.Fatalf("accepts requests: %v, last order %+v", available, orders[n-1])
 		}
 	})
 }
 
-// Guards against an evacuation that never ends because the router missed the change that ended it.
+// Guards against an evacuation that never ends because the router missed the change that withdrew it.
 func TestCompleteListEndsAnEvacuation(t *testing.T) {
 	g := NewWithT(t)
 	r := registry.New()
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -9,10 +9,11 @@
 	"github.com/aspenswitch/aspenswitch/boottime"
 )
 
-// LapseGrace is how long an entry that disappeared around an outage of the platform is still
-// used. Running upstreams register again within 2 s after the platform has recovered. The grace
-// period is shorter than the shortest time after which a leaving upstream must receive no more
-// requests, which is also 2 s.
+// LapseGrace is how long a lapsed entry is still used, counted from when the router receives the
+// deletion. An entry lapses if the platform deletes it around an outage although its upstream may
+// still run; upstreams that run register again within 2 s after the platform has recovered.
+// LapseGrace is below the 2 s after which an upstream that has really left must receive no more
+// requests.
 const LapseGrace = 1500 * time.Millisecond
 
 // Registry stores the entries of upstreams and the evacuations of failure domains. It isn't safe
@@ -24,23 +25,23 @@
 	deletions map[string]int64
 	// lapsed has the times until which lapsed entries are used.
 	lapsed map[string]boottime.Time
-	// evacuations has the latest order for each failure domain. reopened has the times at which
-	// evacuations were last withdrawn.
+	// evacuations has the latest order for each failure domain. withdrawnAt has the times at
+	// which evacuations were last withdrawn.
 	evacuations map[string]evacuation
-	reopened    map[string]boottime.Time
+	withdrawnAt map[string]boottime.Time
 }
 
-// evacuation is the latest order for a failure domain. ended is set if it was withdrawn.
+// evacuation is the latest order for a failure domain or, if withdrawn is set, its withdrawal.
 type evacuation struct {
-	revision int64
-	ended    bool
+	revision  int64
+	withdrawn bool
 }
 
 // New returns an empty registry.
 func New() *Registry {
 	return &Registry{
 		entries: map[string]Upstream{}, deletions: map[string]int64{}, lapsed: map[string]boottime.Time{},
-		evacuations: map[string]evacuation{}, reopened: map[string]boottime.Time{},
+		evacuations: map[string]evacuation{}, withdrawnAt: map[string]boottime.Time{},
 	}
 }
 
@@ -132,7 +133,7 @@
 func (r *Registry) View() *View {
 	v := &View{
 		byID: make(map[string]*Upstream, len(r.entries)), ready: map[string][]*Upstream{}, counts: map[string]int{},
-		evacuated: r.Evacuated(), reopened: maps.Clone(r.reopened),
+		evacuated: r.Evacuated(), withdrawnAt: maps.Clone(r.withdrawnAt),
 	}
 	for _, u := range r.entries {
 		v.byID[u.ID] = &u
--- a/registry/upstream.go
+++ b/registry/upstream.go
@@ -1,5 +1,5 @@
 // Package registry stores the upstreams that the platform publishes. It performs no I/O and starts
-// no goroutines; callers pass in the current time.
+// no goroutines; the time is always an argument.
 package registry
 
 import (
--- a/registry/view.go
+++ b/registry/view.go
@@ -13,9 +13,9 @@
 	ready map[string][]*Upstream
 	// counts has the number of each service's upstreams that aren't draining, including those in
 	// evacuated failure domains.
-	counts    map[string]int
-	evacuated map[string]int64
-	reopened  map[string]boottime.Time
+	counts      map[string]int
+	evacuated   map[string]int64
+	withdrawnAt map[string]boottime.Time
 }
 
 // Ready returns the upstreams of a service that accept new requests, sorted by ID.
@@ -55,7 +55,7 @@
 
 // EvacuationWithdrawnAt returns when this router received the withdrawal of a failure domain's
 // evacuation, or 0 if it has received none.
-func (v *View) EvacuationWithdrawnAt(domain string) boottime.Time { return v.reopened[domain] }
+func (v *View) EvacuationWithdrawnAt(domain string) boottime.Time { return v.withdrawnAt[domain] }
 
 func (v *View) isEvacuated(domain string) bool {
 	_, evacuated := v.evacuated[domain]
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -1,6 +1,6 @@
 // Package retry decides whether a request that failed at an upstream may be retried, and which
 // outcome is reported to the caller otherwise. It performs no I/O and starts no goroutines;
-// callers pass in the current time.
+// the time is always an argument.
 package retry
 
 import "time"
@@ -23,7 +23,7 @@
 	Sent bool
 	// ResponseStarted is set if any part of the response has been sent to the caller.
 	ResponseStarted bool
-	// Repeatable is set for idempotent requests.
+	// Repeatable is set if the request may run more than once.
 	Repeatable bool
 	// Attempt is the number of attempts so far, including this one.
 	Attempt int
--- a/routing/config.go
+++ b/routing/config.go
@@ -90,7 +90,7 @@
 	Name     string
 	Keys     []string
 	Priority int
-	// Ranked is set if Priority overrides the priority of the route.
+	// Ranked is set if the team has a Priority, which then overrides the route's.
 	Ranked bool
 	// Regions are the regions whose upstreams may serve the team. Empty means all.
 	Regions []string
--- a/warmup/bucket.go
+++ b/warmup/bucket.go
@@ -3,8 +3,8 @@
 import "time"
 
 // Bucket is the token bucket from which one home grants requests to one upstream. It also counts
-// requests to a warm upstream: if the upstream turns cold, those of the last second have already
-// been sent to it.
+// requests to an upstream that isn't warming up: if the upstream has to warm up again, those of
+// the last second have already been sent to it.
 type Bucket struct {
 	// Rate is in requests per second. A Bucket with Rate 0 grants nothing.
 	Rate float64
@@ -18,8 +18,9 @@
 	return b.Rate > 0 && b.TimeUntilAvailable(now) == 0
 }
 
-// Take counts one request. While the upstream is warming up, the caller must check Available
-// first. Requests that were sent more than a second ago don't delay the next grant.
+// Take counts one request. While the upstream is warming up, check Available before calling
+// Take. used is capped at burst plus one second of Rate, so that requests that were sent more
+// than a second ago don't delay the next grant.
 func (b *Bucket) Take(now time.Duration) {
 	b.used = min(b.usedAt(now)+1, burst+b.Rate)
 	b.updatedAt = now
--- a/warmup/doc.go
+++ b/warmup/doc.go
@@ -1,5 +1,5 @@
 // Package warmup limits the requests that a fleet of routers sends to an upstream that is
-// warming up. It performs no I/O and starts no goroutines; callers pass in the current time.
+// warming up. It performs no I/O and starts no goroutines; the time is always an argument.
 //
 // An upstream that has just started tolerates only a low rate of requests for some time, and
 // crashes at rates well above it. Policy.Bound is the maximum number of requests from all
