--- a/callers/doc.go
+++ b/callers/doc.go
@@ -2,6 +2,7 @@
 // OpenAI-compatible API for models, and plain services under /services/.
 //
 // The package is used by daemon.Daemon, the router configured by signed bundles.
-// daemon.FleetDaemon, the router on the users' platform, uses packages gateway,
-// fleet, dispatch and feed instead.
+// daemon.FleetDaemon, the router that reads its configuration and upstreams from the
+// platform's store (package feed), uses packages gateway, fleet, dispatch and feed
+// instead.
 package callers
--- a/callers/proxy_request.go
+++ b/callers/proxy_request.go
@@ -40,8 +40,8 @@
 	claim *router.KeyClaim
 }
 
-// newProxyRequest reads a request's body and timeout. The caller must call the
-// returned function when the request ends.
+// newProxyRequest reads a request's body and timeout. The returned function must be
+// called when the request ends.
 func (s *Server) newProxyRequest(c echo.Context) (*proxyRequest, context.CancelFunc, error) {
 	b := s.router.Bundle()
 	body, err := io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, b.Limits.BodyBytes))
--- a/daemon/fleet.go
+++ b/daemon/fleet.go
@@ -24,8 +24,8 @@
 	"github.com/aspenswitch/aspenswitch/upstream"
 )
 
-// FleetDaemon is the router process on the users' platform, which publishes configuration
-// and upstreams. It serves requests with packages gateway, fleet, dispatch and feed. Daemon
+// FleetDaemon is the router process that reads its configuration and upstreams from the
+// platform's store (package feed). It serves requests with packages gateway, fleet, dispatch and feed. Daemon
 // is the alternative that is configured by signed bundles.
 type FleetDaemon struct {
 	settings  settings.Fleet
--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -9,7 +9,8 @@
 // the cached prompt parts of each upstream without load reports. Decisions are advisory:
 // the router that sends the request checks that the upstream may be used at all.
 //
-// daemon.FleetDaemon, the router on the users' platform, uses this package together with
-// packages gateway, fleet and feed. daemon.Daemon, the router configured by signed
-// bundles, uses packages callers, router, sched and lease instead.
+// daemon.FleetDaemon, the router that reads its configuration and upstreams from the
+// platform's store (package feed), uses this package together with packages
+// gateway, fleet and feed. daemon.Daemon, the router configured by signed bundles, uses
+// packages callers, router, sched and lease instead.
 package dispatch
--- a/feed/doc.go
+++ b/feed/doc.go
@@ -13,7 +13,8 @@
 // keeps running while the VM is suspended. So neither network or processing delays
 // nor a suspension makes a state appear younger than it is.
 //
-// The package is used by daemon.FleetDaemon, the router on the users' platform.
+// The package is used by daemon.FleetDaemon, the router that reads its configuration
+// and upstreams from the platform's store.
 // daemon.Daemon, the router configured by signed bundles, uses package bundlefeed
 // instead.
 package feed
--- a/fleet/doc.go
+++ b/fleet/doc.go
@@ -7,7 +7,8 @@
 // heartbeat supersedes the ones before it, placement requests are retried, and a
 // request that no home answers is decided by the router that sent it.
 //
-// daemon.FleetDaemon, the router on the users' platform, uses this package together with
-// packages gateway, dispatch and feed. daemon.Daemon, the router configured by signed
-// bundles, uses packages callers, router, sched and lease instead.
+// daemon.FleetDaemon, the router that reads its configuration and upstreams from the
+// platform's store (package feed), uses this package together with packages
+// gateway, dispatch and feed. daemon.Daemon, the router configured by signed bundles, uses
+// packages callers, router, sched and lease instead.
 package fleet
--- a/fleet/heartbeat.go
+++ b/fleet/heartbeat.go
@@ -8,13 +8,13 @@
 
 // handleHeartbeat updates the member that sent a heartbeat, and adds it if it is new.
 func (n *Node) handleHeartbeat(now boottime.Time, id uint64, hb *heartbeat) {
-	at, ok := n.addrOf(hb.IP)
+	addr, ok := n.addrOf(hb.IP)
 	if !ok {
 		return
 	}
 	m := n.members[id]
 	if m == nil {
-		m = &member{candidate: newCandidate(id, hb.Weight, hb.Domain), addr: at, ip: hb.IP, weight: hb.Weight, hubChangedAt: now}
+		m = &member{candidate: newCandidate(id, hb.Weight, hb.Domain), addr: addr, ip: hb.IP, weight: hb.Weight, hubChangedAt: now}
 		n.replaceIncarnation(now, m)
 		n.members[id] = m
 		n.byIP[m.ip] = m
@@ -63,15 +63,15 @@
 	if n.feed == nil || hb.Revision == 0 {
 		return
 	}
-	at := boottime.Time(hb.Echo - hb.AgeNanos)
+	confirmedAt := boottime.Time(hb.Echo - hb.AgeNanos)
 	// A peer that has received nothing from this incarnation echoes the previous one.
-	// After a power loss the boot clock starts again, so the echo may be hours ahead of
-	// it: the view would be dated in the future, and this router would be authorized to
-	// serve on it without end.
+	// After a power loss the boot clock starts again, so the echoed time may be hours
+	// ahead of this router's clock. The state would be dated in the future and would never
+	// count as stale, so this router would serve requests on it indefinitely.
 	if hb.Echo == 0 || hb.EchoIncarnation != uint32(n.self) {
-		at = 0
+		confirmedAt = 0
 	}
-	if n.feed.ConfirmRevision(hb.Revision, at) {
+	if n.feed.ConfirmRevision(hb.Revision, confirmedAt) {
 		n.pullFrom(m.addr)
 	}
 }
@@ -83,8 +83,8 @@
 		if ip == n.cfg.IP || n.isMember(ip) {
 			continue
 		}
-		if at, ok := n.addrOf(ip); ok {
-			n.send(at, &packet{Heartbeat: n.newHeartbeat(now, 0, true)})
+		if addr, ok := n.addrOf(ip); ok {
+			n.send(addr, &packet{Heartbeat: n.newHeartbeat(now, 0, true)})
 		}
 	}
 }
@@ -155,7 +155,7 @@
 		n.deliver(now, key, g.core.Tick(time.Duration(now)))
 	}
 	n.updateHomes(now)
-	n.recentPeak.observe(now, len(n.members)+1)
+	n.recentPeakMembers.observe(now, len(n.members)+1)
 	for key, g := range n.groups {
 		n.updateWarmUpGrant(now, g)
 		n.probeWarmUps(now, key, g)
@@ -179,8 +179,8 @@
 		if ip == n.cfg.IP || n.isMember(ip) || n.random.Float64() > probability {
 			continue
 		}
-		if at, ok := n.addrOf(ip); ok {
-			n.send(at, &packet{Heartbeat: n.newHeartbeat(now, 0, true)})
+		if addr, ok := n.addrOf(ip); ok {
+			n.send(addr, &packet{Heartbeat: n.newHeartbeat(now, 0, true)})
 		}
 	}
 }
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -90,9 +90,9 @@
 	isHub        bool
 	hubsChosenAt boottime.Time
 	// peakRouters is the largest number of live routers seen since the start, including this
-	// one; recentPeak is the largest recent number of routers, live or not.
-	peakRouters int
-	recentPeak  recentPeak
+	// one; recentPeakMembers is the largest recent number of routers, live or not.
+	peakRouters       int
+	recentPeakMembers peakMembers
 }
 
 const (
--- a/fleet/pull.go
+++ b/fleet/pull.go
@@ -25,7 +25,7 @@
 const pullTimeout = 600 * time.Millisecond
 
 // pullFrom starts to fetch a peer's state, unless a fetch is in progress.
-func (n *Node) pullFrom(at netip.AddrPort) {
+func (n *Node) pullFrom(addr netip.AddrPort) {
 	if !n.pulling.CompareAndSwap(false, true) {
 		return
 	}
@@ -33,14 +33,14 @@
 		defer n.pulling.Store(false)
 		ctx, cancel := context.WithTimeout(context.Background(), pullTimeout)
 		defer cancel()
-		if err := n.pull(ctx, at); err != nil {
-			n.log.Warn().Str("event", "peer").Stringer("from", at).Err(err).Msg("failed to fetch the state of a peer")
+		if err := n.pull(ctx, addr); err != nil {
+			n.log.Warn().Str("event", "peer").Stringer("from", addr).Err(err).Msg("failed to fetch the state of a peer")
 		}
 	}()
 }
 
-func (n *Node) pull(ctx context.Context, at netip.AddrPort) error {
-	conn, err := n.net.Dial(ctx, at)
+func (n *Node) pull(ctx context.Context, addr netip.AddrPort) error {
+	conn, err := n.net.Dial(ctx, addr)
 	if err != nil {
 		return Error.Wrap(err)
 	}
--- a/fleet/readers.go
+++ b/fleet/readers.go
@@ -24,13 +24,13 @@
 	// peer is nil for this router.
 	peer  *member
 	score float64
-	// stale is set if its view is too old to be distributed.
+	// stale is set if its state is too old to be distributed.
 	stale bool
 }
 
 // preferredTo reports whether a router is preferred to another one as a leader. A router with
-// a stale view may be cut off from the platform, and its domain's state would become stale with
-// it. If all views are stale, the platform is unavailable and the leaders don't change: if each
+// a stale state may be cut off from the platform, and its domain's state would become stale with
+// it. If all states are stale, the platform is unavailable and the leaders don't change: if each
 // router made itself a reader instead, hundreds would call the platform in vain.
 func (l *domainLeader) preferredTo(other *domainLeader) bool {
 	if l.stale != other.stale {
@@ -78,8 +78,8 @@
 	}
 }
 
-// chooseLeaders chooses the leader of each failure domain by weighted rendezvous hashing, and
-// counts the routers.
+// chooseLeaders chooses the leader of each failure domain by weighted rendezvous hashing. It
+// also counts the live routers and updates peakRouters.
 func (n *Node) chooseLeaders(now boottime.Time) map[string]*domainLeader {
 	local := &domainLeader{score: rendezvousScore(n.self, n.cfg.Weight, readerKey), stale: n.stateStale()}
 	if n.leaving || !n.isHub {
@@ -100,8 +100,8 @@
 			leaders[m.domain] = candidate
 		}
 	}
-	// The peak is kept, so that the shares of the fleet's allowance that belong to routers that
-	// may return aren't used by the others.
+	// peakRouters never decreases: retry.Budget divides the fleet's retry allowance by it, and
+	// the part of a router that is missing now is kept for its return.
 	n.peakRouters = max(n.peakRouters, live)
 	n.sharedPeakRouters.Store(int64(n.peakRouters))
 	return leaders
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -29,10 +29,10 @@
 	arrived time.Time
 	// deadline is when the caller must have a response: the earlier of its own deadline
 	// and the route's timeout, minus Config.DeadlineMargin.
-	deadline time.Time
-	prompt   int
-	output   int
-	parts    []dispatch.Part
+	deadline     time.Time
+	promptTokens int
+	outputTokens int
+	parts        []dispatch.Part
 	// regions are the regions whose upstreams may serve the request, nil for all.
 	regions []string
 	// contentID is computed on first use and is valid if hasContentID is set.
@@ -195,12 +195,12 @@
 // since they only affect placement.
 func (s *Server) readPrompt(r *request) {
 	prompt, output, _ := strings.Cut(r.in.Header.Get(s.cfg.Headers.Tokens), ",")
-	r.prompt = parseTokens(prompt)
-	r.output = parseTokens(output)
+	r.promptTokens = parseTokens(prompt)
+	r.outputTokens = parseTokens(output)
 	if hint := parseTokens(r.in.Header.Get(s.cfg.Headers.LengthHint)); hint > 0 {
-		r.output = min(r.output, hint)
+		r.outputTokens = min(r.outputTokens, hint)
 	}
-	r.record.prompt, r.record.output = r.prompt, r.output
+	r.record.prompt, r.record.output = r.promptTokens, r.outputTokens
 	if !r.route.Sticky {
 		return
 	}
@@ -234,7 +234,8 @@
 }
 
 // sessionKey returns the key that assigns the requests of one session to the same service
-// when a route's traffic is split.
+// when a route's traffic is split. The second-to-last part identifies the session, since the
+// last part belongs to this request alone.
 func (r *request) sessionKey() string {
 	if len(r.parts) > 1 {
 		return strconv.FormatUint(r.parts[len(r.parts)-2].ID, 16)
@@ -252,7 +253,7 @@
 
 // tokens returns the request's cost in its team's share.
 func (r *request) tokens() float64 {
-	return dispatch.ChargedTokens(&dispatch.Request{Prompt: r.prompt, Output: r.output})
+	return dispatch.ChargedTokens(&dispatch.Request{Prompt: r.promptTokens, Output: r.outputTokens})
 }
 
 func (r *request) teamName() string {
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -112,7 +112,7 @@
 		target = r.deadline.Sub(r.arrived)
 	}
 	return dispatch.Request{
-		Ticket: t, ID: r.id, Team: r.teamName(), Priority: r.priority(), Prompt: r.prompt, Output: r.output, Parts: r.parts,
+		Ticket: t, ID: r.id, Team: r.teamName(), Priority: r.priority(), Prompt: r.promptTokens, Output: r.outputTokens, Parts: r.parts,
 		Target: target - time.Since(r.arrived), Timeout: time.Until(r.deadline), Avoid: avoid, Regions: r.regions,
 	}
 }
--- a/router/claim.go
+++ b/router/claim.go
@@ -126,22 +126,22 @@
 func (r *Router) collectVotes(ctx context.Context, keyClaim *KeyClaim) *idempotency.VoteCount {
 	ctx, cancel := context.WithTimeout(ctx, voteTimeout)
 	defer cancel()
-	claim := idempotency.NewVoteCount(r.cfg.Idempotency, len(keyClaim.voters), keyClaim.tolerance)
+	voteCount := idempotency.NewVoteCount(r.cfg.Idempotency, len(keyClaim.voters), keyClaim.tolerance)
 	votes := make(chan *idempotency.Vote, len(keyClaim.voters))
 	for _, name := range keyClaim.voters {
 		go func() { votes <- r.requestVote(ctx, name, keyClaim) }()
 	}
 	for range keyClaim.voters {
 		if v := <-votes; v != nil {
-			claim.Add(time.Now(), *v)
+			voteCount.Add(time.Now(), *v)
 		} else {
-			claim.AddMissing()
+			voteCount.AddMissing()
 		}
-		if claim.Result() != idempotency.Pending {
+		if voteCount.Result() != idempotency.Pending {
 			break
 		}
 	}
-	return claim
+	return voteCount
 }
 
 // voteRequest returns the parameter of methodVote. A claim that tolerates no
@@ -219,7 +219,7 @@
 	if owner.Router == r.cfg.Name {
 		return r.awaitRecord(ctx, key)
 	}
-	err = r.mesh.Call(ctx, owner.Router, methodAnswer, keyMessage{Key: key, Owner: owner}, &record)
+	err = r.mesh.Call(ctx, owner.Router, methodRecord, keyMessage{Key: key, Owner: owner}, &record)
 	return record, err
 }
 
--- a/router/doc.go
+++ b/router/doc.go
@@ -3,6 +3,7 @@
 // voter and the idempotency records. Request handlers send it typed messages.
 //
 // The package is used by daemon.Daemon, the router configured by signed bundles.
-// daemon.FleetDaemon, the router on the users' platform, uses packages gateway,
-// fleet, dispatch and feed instead.
+// daemon.FleetDaemon, the router that reads its configuration and upstreams from the
+// platform's store (package feed), uses packages gateway, fleet, dispatch and feed
+// instead.
 package router
--- a/router/peers.go
+++ b/router/peers.go
@@ -22,8 +22,8 @@
 	methodVote = "vote"
 	// methodRelease releases a vote; a notification.
 	methodRelease = "release"
-	// methodAnswer requests the record of a key from its owner.
-	methodAnswer = "answer"
+	// methodRecord requests the record of a key from its owner.
+	methodRecord = "answer"
 )
 
 // bundleVersionMessage is the parameter of methodBundleVersion.
@@ -83,7 +83,7 @@
 			return nil, Error.Wrap(err)
 		}
 		return h.r.localVote(ctx, m)
-	case methodAnswer:
+	case methodRecord:
 		var m keyMessage
 		if err := json.Unmarshal(params, &m); err != nil {
 			return nil, Error.Wrap(err)
