--- a/idempotency/claim.go
+++ b/idempotency/claim.go
@@ -41,7 +41,7 @@
 	wonAt      time.Time
 }
 
-// NewVoteCount returns a pending claim that is put to the given number of voters.
+// NewVoteCount returns a count without votes for a claim that is put to the given number of voters.
 func NewVoteCount(cfg Config, voters, tolerance int) *VoteCount {
 	return &VoteCount{cfg: cfg, voters: voters, tolerance: tolerance}
 }
