--- a/registry/evacuation_test.go
+++ b/registry/evacuation_test.go
@@ -31,37 +31,37 @@
 	g.Expect(v.Upstream("a")).To(BeNil())
 	g.Expect(v.UpstreamEvacuated("late")).To(BeTrue())
 	g.Expect(v.Count("llm")).To(Equal(3))
-	g.Expect(v.ReopenedAt("north")).To(BeZero())
+	g.Expect(v.EvacuationWithdrawnAt("north")).To(BeZero())
 
 	r.RecordEvacuation(receivedAt.Add(time.Second), "north", true, 7)
 	g.Expect(r.View().Ready("llm")).To(HaveLen(3))
-	g.Expect(r.View().ReopenedAt("north")).To(Equal(receivedAt.Add(time.Second)))
+	g.Expect(r.View().EvacuationWithdrawnAt("north")).To(Equal(receivedAt.Add(time.Second)))
 }
 
 // Guards against delayed or repeated orders that restart or end an evacuation.
 func TestNewestOrderOfAnEvacuationHolds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		type order struct {
-			revision int64
-			ended    bool
+			revision  int64
+			withdrawn bool
 		}
 		n := rapid.IntRange(1, 6).Draw(rt, "orders")
 		orders := make([]order, n)
 		for i := range orders {
-			orders[i] = order{revision: int64(i + 1), ended: rapid.Bool().Draw(rt, "ended")}
+			orders[i] = order{revision: int64(i + 1), withdrawn: rapid.Bool().Draw(rt, "ended")}
 		}
 		r := registry.New()
 		r.Put(receivedAt, newEntryInDomain("a", "north", 1))
 		for _, o := range rapid.Permutation(append(orders, orders...)).Draw(rt, "order") {
-			r.RecordEvacuation(receivedAt, "north", o.ended, o.revision)
+			r.RecordEvacuation(receivedAt, "north", o.withdrawn, o.revision)
 		}
-		if available := r.View().Upstream("a") != nil; available != orders[n-1].ended {
+		if available := r.View().Upstream("a") != nil; available != orders[n-1].withdrawn {
 			rt.Fatalf("accepts requests: %v, last order %+v", available, orders[n-1])
 		}
 	})
 }
 
-// Guards against an evacuation that never ends because the router missed the change that ended it.
+// Guards against an evacuation that never ends because the router missed the change that withdrew it.
 func TestCompleteListEndsAnEvacuation(t *testing.T) {
 	g := NewWithT(t)
 	r := registry.New()
